--- a/benches/batch.rs
+++ b/benches/batch.rs
@@ -1,7 +1,8 @@
-//! What a request costs the decision module as members and gateways grow: its events and its answer, on a calm set.
+//! Time that the router takes for one request, including the events and actions that follow it, as
+//! the numbers of members and gateways grow. No member fails.
 //!
-//! The figure to watch is the ratio between the sizes of one run: a request's cost should not grow with members that are
-//! not of its set.
+//! Compare the times within one run: the time per request should not grow with members of other
+//! groups.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use irisrouter::platform_settings::PlatformSettings;
@@ -13,7 +14,8 @@
 
 const MS: TimeDelta = TimeDelta::from_millis(1);
 const MEMBERS_OF_A_SET: u32 = 5;
-/// Ids of held requests, and groups without members for which they are.
+/// First id of the queued requests, and first id and number of the groups without members that they
+/// are for.
 const HELD_REQUESTS_FROM: u64 = 1 << 32;
 const EMPTY_GROUPS_FROM: i64 = 1 << 32;
 const EMPTY_GROUPS: u64 = 267;
@@ -38,7 +40,7 @@
         .settings
 }
 
-/// A router that has served for a while, and how many requests it has had.
+/// A router that has already served requests, with the clock and the number of its next request.
 struct Served {
     router: Router,
     now: Timestamp,
@@ -77,7 +79,7 @@
         served
     }
 
-    /// A request comes and is answered; probes are answered too.
+    /// Submits a request and answers it. The health checks that the router sends are answered too.
     fn request(&mut self) {
         let id = RequestId(self.next);
         let group = GroupId((self.next % u64::from(self.sets)) as i64);
@@ -155,7 +157,7 @@
     }
 }
 
-/// A request for a group without members, which is held.
+/// A request for a group without members, so that it stays queued.
 fn held_request(number: u64, now: Timestamp) -> Event {
     Event::Request {
         id: RequestId(HELD_REQUESTS_FROM + number),
@@ -170,7 +172,7 @@
     }
 }
 
-/// An event of one group while requests of other groups are held.
+/// Measures an event of one group while requests for other groups are queued.
 fn event_with_requests_held(c: &mut Criterion) {
     let mut group = c.benchmark_group("event_with_requests_held");
     for held in [0, 100, 1_000, 5_000] {
--- a/tests/decision_log.rs
+++ b/tests/decision_log.rs
@@ -1,10 +1,12 @@
-//! Fixed event sequences lead to the same actions in every version, unless a change of decisions is intended.
+//! Checks that fixed event sequences lead to the same actions in every version, unless a change of
+//! decisions is intended.
 //!
-//! The recorded digests are in `fixtures/decision_log.txt`. A commit that means to change decisions
-//! replaces them by those of the failure message, and says which scenarios changed and why.
+//! The recorded digests are in `fixtures/decision_log.txt`. A commit that intends to change
+//! decisions replaces them by those of the failure message, and explains which scenarios changed
+//! and why.
 //!
-//! Estimates use `exp` and `powf`, whose last digit may differ between math libraries. The digests
-//! are those of glibc.
+//! Estimates use `exp` and `powf`, whose last digit may differ between math libraries. The recorded
+//! digests were made with glibc.
 
 mod event_sequence;
 
@@ -14,7 +16,7 @@
 const BATCHES: usize = 3_000;
 const SEED: u64 = 1;
 
-/// FNV-1a over the numbers that make up the actions.
+/// FNV-1a hash of the numbers that represent the actions.
 struct Digest(u64);
 
 impl Digest {
--- a/tests/event_sequence/mod.rs
+++ b/tests/event_sequence/mod.rs
@@ -1,6 +1,7 @@
-//! Random sequences of events for a router, which follow its actions as a gateway would.
+//! Random sequences of events for a router. Each sequence reacts to the router's actions as a
+//! gateway would.
 //!
-//! A sequence is the same for equal scenarios, seeds and actions.
+//! Equal scenarios, seeds and actions give equal sequences.
 
 use irisrouter::routing::{
     Action, DeduplicationScope, Endpoint, EndpointState, Event, FailoverDirectives, Freshness,
@@ -17,7 +18,7 @@
 const ZONES: u32 = 3;
 const SESSIONS: u64 = 6;
 
-/// Outcomes of attempts; the more frequent ones stand there more often.
+/// Outcomes of attempts, from which one is drawn at random; frequent ones are listed several times.
 const OUTCOMES: [Outcome; 20] = [
     Outcome::Ok,
     Outcome::Ok,
@@ -41,16 +42,16 @@
     Outcome::NotSent,
 ];
 
-/// A deployment, and what happens in it.
+/// A deployment, and the conditions in it.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario, as it stands in `fixtures/decision_log.txt`.
     pub name: &'static str,
     /// Settings of the router.
     pub settings: Settings,
-    /// Gateways share their health checks.
+    /// Whether gateways share their health checks.
     pub shared_health_checks: bool,
-    /// Members answer mostly in time; else they are often late, silent or out of reach.
+    /// Whether members mostly answer in time. Otherwise they are often late, silent or unreachable.
     pub calm: bool,
 }
 
@@ -165,7 +166,7 @@
     }
 }
 
-/// An attempt that the router has sent.
+/// An attempt in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     id: RequestId,
@@ -180,18 +181,18 @@
     rng: oorandom::Rand64,
     now: Timestamp,
     requests: u64,
-    /// Attempts sent for each request, by number.
+    /// Number of attempts sent for each request, by the number of the request.
     attempts: Vec<u32>,
     in_flight: Vec<InFlight>,
     health_checks: Vec<MemberId>,
-    /// The primary of each group.
+    /// The current primary of each group.
     primaries: Vec<u32>,
     started: Vec<Option<Timestamp>>,
     listed: bool,
 }
 
 impl EventSequence {
-    /// A sequence of this scenario.
+    /// Creates a sequence for this scenario.
     pub fn new(scenario: &Scenario, seed: u64) -> Self {
         EventSequence {
             scenario: scenario.clone(),
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Time and events of the next batch.
+    /// Returns the time and the events of the next batch.
     pub fn next_batch(&mut self) -> (Timestamp, Vec<Event>) {
         let time_passed = match self.below(100) {
             0 => self.time_up_to(2 * SECOND),
@@ -231,7 +232,7 @@
         (self.now, events)
     }
 
-    /// Carries the router's actions out.
+    /// Carries out the router's actions.
     pub fn carry_out(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
@@ -453,7 +454,7 @@
         }
     }
 
-    /// Mostly one changed entry, at times the complete list.
+    /// Returns a change to one entry in most cases, and otherwise a complete list.
     fn endpoint_list(&mut self) -> Event {
         let member = self.any_member();
         if self.chance(0.3) {
@@ -499,7 +500,8 @@
         }
     }
 
-    /// Some class gets another objective, and goes on from its own measurements, another class's or none.
+    /// Changes the latency objective of a random class, which takes over its own measurements,
+    /// those of another class, or none.
     fn settings_changed(&mut self) -> Event {
         let classes = self.scenario.settings.classes.len();
         let changed = self.below(classes as u64) as usize;
@@ -518,7 +520,7 @@
         }
     }
 
-    /// A snapshot of some members, in the format in which it is sent between versions.
+    /// Returns a snapshot of some members, in the format in which it is sent between versions.
     fn snapshot_received(&mut self) -> Event {
         let mut members = Vec::new();
         for member in 0..GROUPS * MEMBERS_PER_GROUP {
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of hundreds of gateways, in which one gateway sends a member a request in many seconds.
+//! Fleets of hundreds of gateways, in which each gateway sends a member a request only every few
+//! seconds.
 
 mod router_harness;
 
@@ -10,7 +11,7 @@
     SECOND, SESSION_READ, WRITE,
 };
 
-/// One of this many gateways.
+/// A router of one of this many gateways.
 fn harness(staleness_check: StalenessCheck, gateway_count: u32, seed: u64) -> RouterHarness {
     let mut settings = settings(staleness_check);
     settings.gateway_count = gateway_count;
@@ -18,7 +19,7 @@
     RouterHarness::new(settings)
 }
 
-/// One of this many gateways, in a zone without members.
+/// A router of one of this many gateways, in a zone without members.
 fn harness_in_empty_zone(gateway_count: u32, seed: u64) -> RouterHarness {
     let mut settings = settings(StalenessCheck::Reject);
     settings.gateway_count = gateway_count;
@@ -27,7 +28,8 @@
     RouterHarness::new(settings)
 }
 
-/// A health check succeeds: a member whose data are current reports its requests in flight.
+/// Delivers a successful health check in which a member with current data reports its requests in
+/// flight.
 fn report_in_flight(harness: &mut RouterHarness, member: u32, in_flight: f64) -> Vec<Action> {
     let report = LoadReport {
         position: Some(harness.now),
@@ -68,7 +70,7 @@
     }
 }
 
-/// Guards against health checks that cost more than the requests that they are for are worth.
+/// Guards against health checks that cost more than the requests that they are sent for are worth.
 #[test]
 fn expensive_health_checks_are_fewer_than_the_requests_that_pay_for_them() {
     for (price, least, most) in [(0.04, 300, 2_000), (0.4, 30, 200)] {
@@ -79,7 +81,7 @@
         let mut harness = RouterHarness::new(settings);
         let mut sum = 0;
         for _ in 0..600 {
-            // Each read needs a replica that has just said how recent it is.
+            // Each read needs a replica that has just reported a recent position.
             let (id, mut actions) = harness.submit(BOUNDED_READ, None);
             for _ in 0..8 {
                 sum += health_checks(&actions);
@@ -100,7 +102,7 @@
     }
 }
 
-/// The member of the first health check among these actions.
+/// Returns the member of the first health check that these actions start.
 fn first_health_check(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::HealthCheck { member } => Some(member.0),
@@ -173,7 +175,7 @@
     let mut sent_to_cold = 0;
     for seed in 0..200 {
         let mut harness = harness(StalenessCheck::Reject, 200, seed);
-        // Member 2 is the only replica of the gateway's zone, 0.
+        // Member 2 is the only replica in the gateway's zone, which is zone 0.
         let cold = Endpoint {
             started: Some(harness.now),
             ..endpoint(2, EndpointState::Ready)
@@ -220,7 +222,8 @@
     );
 }
 
-/// Guards against requests that wait, and health checks that are spent, for what no report brings.
+/// Guards against requests that wait, and health checks that are sent, for a load figure that
+/// reports do not contain.
 #[test]
 fn request_waits_for_a_load_report_only_where_reports_count_requests_in_flight() {
     for in_flight_reported in [false, true] {
--- a/tests/periodic_health_checks.rs
+++ b/tests/periodic_health_checks.rs
@@ -1,4 +1,4 @@
-//! Which members are checked periodically, against a model that looks at every member.
+//! Compares the periodic health checks with a model that examines every member.
 
 use irisrouter::platform_settings::PlatformSettings;
 use irisrouter::routing::{
@@ -10,20 +10,21 @@
 
 const GROUPS: u32 = 3;
 const MEMBERS: u32 = 12;
-/// The connect timeout of the settings; suspected members are due after it.
+/// Connect timeout of the settings. It is also the interval between checks of a suspected member.
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_secs(2);
-/// Other members are due after this.
+/// Interval between checks of a member that is not suspected.
 const USUAL_INTERVAL: TimeDelta = TimeDelta::from_secs(16);
-/// Shared results are recent for this long.
+/// Time for which a shared result is recent.
 const SHARED_LIFETIME: TimeDelta = TimeDelta::from_secs(8);
-/// A member with a request in flight may be silent for this long: four of the class's usual latencies.
+/// Silence after which a member with a request in flight is suspected: four of the class's usual
+/// latencies.
 const SILENCE_TOLERANCE: TimeDelta = TimeDelta::from_secs(8);
-/// A removed member is forgotten after this: twice the warm-up time of the settings.
+/// Time after which a removed member is dropped: twice the warm-up time of the settings.
 const FORGOTTEN_AFTER: TimeDelta = TimeDelta::from_millis(2);
 const BUDGET_CAPACITY: f64 = 12.0;
 const BUDGET_PER_REQUEST: f64 = 0.1;
 
-/// What happens to a router.
+/// An input to the router.
 #[derive(Clone, Debug)]
 enum Step {
     TimePasses { milliseconds: i64 },
@@ -56,7 +57,7 @@
     ]
 }
 
-/// What the model knows of a member.
+/// State of a member in the model.
 #[derive(Clone, Debug, Default)]
 struct ModelMember {
     draining: bool,
@@ -129,7 +130,7 @@
 }
 
 impl Model {
-    /// The event of a step, after the model has taken it; none where nothing happens.
+    /// Applies a step to the model and returns its event, or `None` if the router gets none.
     fn take(&mut self, step: &Step) -> Option<Event> {
         match *step {
             Step::TimePasses { milliseconds } => {
@@ -229,7 +230,8 @@
         }])
     }
 
-    /// The members that a request has to have checked, by a look at each of them.
+    /// Returns the members that a new request should cause to be checked, found by examining each
+    /// member.
     fn checks_due(&self) -> Vec<MemberId> {
         let is_shared = |id: &MemberId| {
             let shared_at = self.shared_at.get(&(id.0 % GROUPS));
@@ -250,7 +252,7 @@
         due
     }
 
-    /// Takes what the router did.
+    /// Applies the router's actions to the model.
     fn carry_out(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
@@ -315,7 +317,7 @@
             let expected = if pays { model.checks_due() } else { Vec::new() };
             model.budget -= expected.len() as f64;
             let actions = router.batch(model.now, &[event]);
-            // Checks that a queued request needs come behind those that were due anyway.
+            // Checks that a queued request needs follow those that were due anyway.
             let sent = health_checks(&actions);
             prop_assert!(sent.starts_with(&expected), "{sent:?} instead of {expected:?}");
             model.carry_out(&actions);
--- a/tests/queued_requests.rs
+++ b/tests/queued_requests.rs
@@ -1,4 +1,4 @@
-//! When queued requests are selected for again.
+//! When selection runs again for queued requests.
 
 use irisrouter::platform_settings::PlatformSettings;
 use irisrouter::routing::{
@@ -10,7 +10,8 @@
 const GROUP_OF_REQUESTS: u32 = 1;
 const OTHER_GROUP: u32 = 0;
 
-/// A router of a deployment whose gateways pause between two requests to one member, with two groups of one member each.
+/// Creates a router for two groups of one member each. With these settings, gateways pause between
+/// two requests to the same member.
 fn router(now: Timestamp) -> Router {
     let settings = include_str!("gateway/settings.json");
     let mut settings: serde_json::Value = serde_json::from_str(settings).expect("JSON");
@@ -58,7 +59,8 @@
     actions.iter().any(starts)
 }
 
-/// How long a second read waits for the pause behind the first, while this group has an event each millisecond.
+/// Returns how long a second read waits for the pause after the first, while the given group has an
+/// event each millisecond.
 fn wait_behind_a_pause(group_with_events: u32) -> TimeDelta {
     let start = Timestamp::ZERO + TimeDelta::from_secs(1_000);
     let mut router = router(start);
@@ -95,7 +97,8 @@
     }
 }
 
-/// Guards against queued requests that wait for events of their own group: a pause ends by itself.
+/// Guards against queued requests that wait for an event of their own group, although the pause
+/// ends without one.
 #[test]
 fn queued_request_is_sent_as_soon_by_events_of_another_group_as_by_those_of_its_own() {
     let wait = wait_behind_a_pause(GROUP_OF_REQUESTS);
--- a/tests/router_harness/mod.rs
+++ b/tests/router_harness/mod.rs
@@ -1,5 +1,6 @@
-//! A router driven by hand, for tests: settings, a group of three members and a clock.
-// Each test binary uses a part of the harness.
+//! Test harness for one router, with settings, a group of three members and a clock that the test
+//! advances.
+// Each test binary uses only a part of the harness.
 #![allow(dead_code)]
 
 use irisrouter::routing::{
@@ -11,7 +12,7 @@
 
 pub const MILLISECOND: TimeDelta = TimeDelta::from_millis(1);
 pub const SECOND: TimeDelta = TimeDelta::from_secs(1);
-/// The group of all members.
+/// The group that all members belong to.
 pub const GROUP: GroupId = GroupId(1);
 
 /// Indices of the classes in [`settings`].
@@ -34,7 +35,7 @@
     }
 }
 
-/// Settings of a small fleet whose members do this with stale reads.
+/// Settings of a small fleet whose members handle stale reads in the given way.
 pub fn settings(staleness_check: StalenessCheck) -> Settings {
     let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::Group,
@@ -84,7 +85,7 @@
     }
 }
 
-/// A router at a clock, and the number of its next request.
+/// A router, the current time, and the number of the next request.
 pub struct RouterHarness {
     pub router: Router,
     pub now: Timestamp,
@@ -105,7 +106,8 @@
 }
 
 impl RouterHarness {
-    /// Members 0 (primary), 1 and 2 (replicas), whose positions are recent.
+    /// Creates a router with member 0 as primary and members 1 and 2 as replicas, all with current
+    /// positions.
     pub fn new(settings: Settings) -> Self {
         let mut harness = RouterHarness {
             router: Router::new(settings),
@@ -122,12 +124,12 @@
         harness
     }
 
-    /// Delivers events in one batch.
+    /// Delivers events in one batch, and returns the resulting actions.
     pub fn deliver(&mut self, events: &[Event]) -> Vec<Action> {
         self.router.batch(self.now, events)
     }
 
-    /// The complete endpoint list arrives.
+    /// Delivers a complete endpoint list.
     pub fn list_all(&mut self, endpoints: Vec<Endpoint>) -> Vec<Action> {
         self.deliver(&[Event::EndpointList {
             complete: true,
@@ -135,7 +137,7 @@
         }])
     }
 
-    /// Changes to the endpoint list arrive.
+    /// Delivers changes to the endpoint list.
     pub fn list_changes(&mut self, endpoints: Vec<Endpoint>) -> Vec<Action> {
         self.deliver(&[Event::EndpointList {
             complete: false,
@@ -143,20 +145,21 @@
         }])
     }
 
-    /// Time passes, and the timer fires.
+    /// Advances the clock and fires the timer.
     fn advance(&mut self, time: TimeDelta) -> Vec<Action> {
         self.now += time;
         self.deliver(&[Event::TimerFired])
     }
 
-    /// Time passes in steps of 10 ms. Returns the actions of all steps.
+    /// Advances the clock in steps of 10 ms and fires the timer after each. Returns the actions of
+    /// all steps.
     pub fn run_for(&mut self, time: TimeDelta) -> Vec<Action> {
         (0..time / (10 * MILLISECOND))
             .flat_map(|_| self.advance(10 * MILLISECOND))
             .collect()
     }
 
-    /// A health check succeeds: an idle member reports its role and its position.
+    /// Delivers a successful health check of an idle member that reports this role and position.
     pub fn report(&mut self, member: u32, primary: bool, position: Timestamp) -> Vec<Action> {
         self.report_load(
             member,
@@ -169,7 +172,7 @@
         )
     }
 
-    /// A health check succeeds, and brings this report.
+    /// Delivers a successful health check with this report.
     pub fn report_load(&mut self, member: u32, report: LoadReport) -> Vec<Action> {
         self.deliver(&[Event::HealthChecked {
             member: MemberId(member),
@@ -179,7 +182,7 @@
         }])
     }
 
-    /// A request comes in. Returns its id and the actions on it.
+    /// Submits a request. Returns its id and the resulting actions.
     pub fn submit(
         &mut self,
         class: usize,
@@ -201,7 +204,7 @@
         (id, actions)
     }
 
-    /// An attempt ends after 50 ms. A member that answers says that it has this role.
+    /// Ends an attempt after 50 ms. If the outcome is an answer, it carries this role.
     pub fn end_attempt(
         &mut self,
         id: RequestId,
@@ -230,12 +233,13 @@
         }])
     }
 
-    /// The first attempt of a request succeeds at this member, which says that it is a replica.
+    /// Ends the first attempt of a request successfully. The answer carries the role of a replica.
     pub fn answer_as_replica(&mut self, id: RequestId, member: u32) -> Vec<Action> {
         self.end_attempt(id, 0, member, Outcome::Ok, Role::Replica)
     }
 
-    /// The first attempt of a request succeeds at this member: 0 is the primary.
+    /// Ends the first attempt of a request successfully. The answer carries the role of the member,
+    /// of which 0 is the primary.
     pub fn answer(&mut self, id: RequestId, member: u32) -> Vec<Action> {
         let role = if member == 0 {
             Role::Primary
@@ -246,7 +250,7 @@
     }
 }
 
-/// The member that a request is sent to among these actions.
+/// Returns the member that these actions send the request to.
 pub fn sent_to(id: RequestId, actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::StartAttempt {
@@ -256,23 +260,23 @@
     })
 }
 
-/// The request is rejected among these actions.
+/// Returns whether these actions reject the request.
 pub fn is_rejected(id: RequestId, actions: &[Action]) -> bool {
     rejections(id, actions) > 0
 }
 
-/// How often the request is rejected among these actions.
+/// Returns how often these actions reject the request.
 pub fn rejections(id: RequestId, actions: &[Action]) -> usize {
     let rejects = |action: &&Action| matches!(action, Action::Reject { id: of, .. } if *of == id);
     actions.iter().filter(rejects).count()
 }
 
-/// The request has failed among these actions.
+/// Returns whether these actions fail the request.
 pub fn is_failed(id: RequestId, actions: &[Action]) -> bool {
     actions.contains(&Action::Fail { id })
 }
 
-/// Number of health checks among these actions.
+/// Returns the number of health checks that these actions start.
 pub fn health_checks(actions: &[Action]) -> usize {
     let is_health_check = |action: &&Action| matches!(action, Action::HealthCheck { .. });
     actions.iter().filter(is_health_check).count()
--- a/tests/rules_under_random_events.rs
+++ b/tests/rules_under_random_events.rs
@@ -1,4 +1,4 @@
-//! Random legal sequences of events: the rules hold, and equal events and seed give equal actions.
+//! Random valid sequences of events: the rules hold, and equal events and seeds give equal actions.
 
 mod router_harness;
 
@@ -16,7 +16,7 @@
 const MEMBERS: u32 = 5;
 /// Time between two batches.
 const STEP_TIME: TimeDelta = TimeDelta::from_millis(10);
-/// Time at the end in which every request must get its answer.
+/// Number of steps after the random ones in which every request must get its answer.
 const STEPS_AT_END: usize = 300;
 
 /// One step of a sequence. Times are in milliseconds.
@@ -83,7 +83,8 @@
 }
 
 impl Attempt {
-    /// It is in flight, or has ended without proof that it never ran.
+    /// Returns whether the member may have run the request: the attempt is in flight, or its
+    /// outcome does not prove otherwise.
     fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| {
             !matches!(
@@ -105,22 +106,21 @@
     final_answers: u32,
 }
 
-/// A number of an attempt of a request.
+/// Identifies an attempt by the numbers of its request and of the attempt.
 #[derive(Clone, Copy, Debug)]
 struct AttemptId {
     request: u64,
     attempt: u32,
 }
 
-/// What an observer who sees all events and actions knows.
+/// Observer of all events and actions, which checks the rules.
 struct Observer {
     settings: Settings,
     requests: BTreeMap<u64, Request>,
     in_flight: Vec<AttemptId>,
     states: BTreeMap<u32, EndpointState>,
     positions: BTreeMap<u32, Timestamp>,
-    /// Members that have claimed to be primary, and have not said since in an answer that they are
-    /// not.
+    /// Whether a member has reported to be primary, and has not denied it in an answer since.
     was_primary: BTreeMap<u32, bool>,
 }
 
@@ -195,7 +195,7 @@
         Ok(())
     }
 
-    /// Rule 2 for an attempt that is sent now.
+    /// Checks rule 2 for an attempt that is sent now.
     fn check_repeat(&self, now: Timestamp, request: &Request) -> Result<(), TestCaseError> {
         match self.settings.classes[request.class].idempotency {
             Idempotency::Idempotent => {}
@@ -213,7 +213,7 @@
         Ok(())
     }
 
-    /// Rule 5 for an attempt that is sent now.
+    /// Checks rule 5 for an attempt that is sent now.
     fn check_freshness(
         &self,
         now: Timestamp,
@@ -258,7 +258,7 @@
         Ok(())
     }
 
-    /// The event of an attempt's end; a first success answers the client by itself.
+    /// Ends an attempt and returns the event. The first success is also the request's final answer.
     fn end_attempt(&mut self, id: AttemptId, outcome: Outcome) -> Event {
         let request = self.request(id.request);
         let finished = request.final_answers > 0 || outcome == Outcome::Ok;
@@ -440,7 +440,8 @@
     }
 }
 
-/// The actions of each batch of a sequence. Fails if a rule is broken or a request not answered.
+/// Runs a sequence and returns the actions of each batch. Fails if a rule is broken or a request
+/// gets no answer.
 fn actions_of(steps: &[Step]) -> Result<Vec<Vec<Action>>, TestCaseError> {
     let mut run = Run::new();
     run.list_all_ready()?;
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -1,4 +1,5 @@
-//! The five rules that bind every send, and the router's defences, one router at a time.
+//! The five rules that apply to every attempt, and the router's protection against overload and
+//! failed members. Each test drives one router.
 
 mod router_harness;
 
@@ -11,19 +12,21 @@
     ANY_READ, BOUNDED_READ, KEYED_WRITE, MILLISECOND, SECOND, SESSION_READ, STRONG_READ, WRITE,
 };
 
-/// A harness of a small fleet whose members do this with stale reads.
+/// A harness with a small fleet whose members handle stale reads in the given way.
 fn harness(staleness_check: StalenessCheck) -> RouterHarness {
     RouterHarness::new(settings(staleness_check))
 }
 
-/// The primary rejects a write as a replica: from then on the group has no known primary.
+/// Makes the primary reject a write because it has become a replica, so that the group has no known
+/// primary afterwards. Returns the write.
 fn lose_primary(harness: &mut RouterHarness) -> RequestId {
     let (id, _) = harness.submit(WRITE, None);
     harness.end_attempt(id, 0, 0, Outcome::Unsuitable, Role::Replica);
     id
 }
 
-/// Of twenty reads that any member may serve, none goes to this member. Each is answered at once.
+/// Asserts that none of twenty reads that any member may serve goes to this member. Each read is
+/// answered at once.
 fn assert_gets_no_reads(harness: &mut RouterHarness, member: u32) {
     for _ in 0..20 {
         let (id, actions) = harness.submit(ANY_READ, None);
@@ -43,9 +46,9 @@
     assert_eq!(sent_to(id, &harness.run_for(SECOND)), None);
 }
 
-/// Guards against a lost site's load that fills the other sites: what the failover plan does not
-/// admit is rejected at once, in its share, with a time to retry after. Other classes are not
-/// touched, and none once the plan is over.
+/// Guards against the load of a lost site overloading the other sites. The failover plan rejects
+/// its share of a class at once, with a time after which to retry. It does not affect other
+/// classes, or any class after the plan has ended.
 #[test]
 fn failover_plan_rejects_its_share_of_one_class_with_retry_after() {
     let mut settings = settings(StalenessCheck::Reject);
@@ -87,7 +90,7 @@
     }));
 }
 
-/// The time after which a request's client is told to retry.
+/// Returns the time after which these actions tell the request's client to retry.
 fn retry_after(id: RequestId, actions: &[Action]) -> Option<TimeDelta> {
     actions.iter().find_map(|action| match action {
         Action::Reject {
@@ -98,8 +101,8 @@
     })
 }
 
-/// Guards against a site's hosts that are all sent their full share in the moment in which they
-/// are back.
+/// Guards against a site that gets its full share of requests at the moment in which its hosts are
+/// back.
 #[test]
 fn zone_on_a_recovery_ramp_gets_its_share_of_reads_only() {
     let mut settings = settings(StalenessCheck::Reject);
@@ -180,8 +183,9 @@
     );
 }
 
-/// Guards against a repeat that is decided on within the window and arrives after it, as its
-/// connection had to come up first: the group takes it for another write.
+/// Guards against a retry that is started within the deduplication window and arrives after it,
+/// because its connection has to be established first. The group would then apply it as another
+/// write.
 #[test]
 fn keyed_write_is_retried_only_while_a_new_connection_would_be_in_time() {
     for (after, retried) in [(740 * MILLISECOND, true), (750 * MILLISECOND, false)] {
@@ -193,8 +197,8 @@
     }
 }
 
-/// Guards against a member that answers everything with an error at once: it always has room, and
-/// drew the reads of its group.
+/// Guards against a member that answers every request with an error at once: it always has
+/// capacity, and attracted the reads of its group.
 #[test]
 fn member_that_answers_with_errors_is_ejected_and_returns_later() {
     let mut harness = harness(StalenessCheck::Reject);
@@ -230,9 +234,9 @@
     );
 }
 
-/// Guards against replicas that stand idle because no health check has proven them recent of late,
-/// while the proven ones are full and reads are queued; and against one that is sent reads again
-/// and again though it is too far behind.
+/// Guards against replicas that stay idle because no recent health check has confirmed their
+/// position, while the confirmed replicas are full and reads are queued; and against repeated reads
+/// to a replica that is too far behind.
 #[test]
 fn probably_recent_replica_takes_overflow_until_it_rejects_a_read() {
     let mut harness = harness(StalenessCheck::Reject);
@@ -255,8 +259,8 @@
     }
 }
 
-/// Guards against memory that grows all day where members are replaced, against forgetting a
-/// member that still owes an answer, and against keeping one from coming back.
+/// Guards against memory that grows with each replaced member, against dropping a member with
+/// requests in flight, and against a member that cannot come back.
 #[test]
 fn removed_members_are_forgotten_once_nothing_is_in_flight_there() {
     let mut harness = harness(StalenessCheck::Reject);
@@ -290,7 +294,8 @@
     assert_eq!(sent_to(id, &actions), Some(0), "back in service");
 }
 
-/// Guards against a primary whose quick errors use the retry budget up as full attempts would.
+/// Guards against quick errors of a primary that use up the retry budget as if they were full
+/// attempts.
 #[test]
 fn failed_attempt_costs_the_retry_budget_by_the_time_it_took() {
     let mut harness = harness(StalenessCheck::Reject);
@@ -338,8 +343,9 @@
     assert_eq!(sent_to(id, &actions), Some(1));
 }
 
-/// Requests sent to cold members in the first second after the restart of a whole group: of 600
-/// reads and 600 writes in all, spread over this many gateways.
+/// Returns the number of requests sent to members in slow start in the first second after the
+/// restart of a whole group, out of 600 reads and 600 writes that arrive at this many gateways in
+/// total.
 fn sent_to_cold_group(gateway_count: u32) -> usize {
     let mut sent = 0;
     for seed in 0..gateway_count {
@@ -375,7 +381,8 @@
 fn cold_group_gets_its_share_whatever_the_number_of_gateways() {
     for gateway_count in [1, 40, 300] {
         let sent = sent_to_cold_group(gateway_count);
-        // Of 1,200 requests: members have 0.2 of their capacity, and the rule's multiple is 4.
+        // Members have 0.2 of their capacity, and the overload multiple is 4; 1,200 requests
+        // arrive.
         assert!(
             sent > 1_200 / 10 && sent < 1_200 / 2,
             "{gateway_count} gateways: {sent}"
@@ -483,7 +490,7 @@
     assert!((1..=4).contains(&sent), "{sent} at once");
 }
 
-/// The requests that are sent among these actions, in their order.
+/// Returns the requests that these actions send, in order.
 fn started_requests(actions: &[Action]) -> Vec<RequestId> {
     let started = |action: &Action| match action {
         Action::StartAttempt { id, .. } => Some(*id),
@@ -571,7 +578,8 @@
     assert!(short <= 1, "{short}");
 }
 
-/// Of twenty requests, those sent at once after single answers that took these times.
+/// Returns how many of twenty requests are sent at once, after one answer for each of these
+/// latencies.
 fn sent_at_once_after(answers: &[TimeDelta]) -> usize {
     let mut settings = settings(StalenessCheck::None);
     settings.gateway_count = 1;
@@ -650,7 +658,7 @@
     harness.now += 200 * MILLISECOND;
     harness.report(1, false, harness.now - 100 * MILLISECOND);
     harness.report(2, false, harness.now);
-    // The replica furthest behind fills up, and the next is spared at first.
+    // The replica that is furthest behind fills up, and the next one is not used at first.
     let older = loop {
         let (id, actions) = harness.submit(ANY_READ, None);
         match sent_to(id, &actions) {
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -1,4 +1,4 @@
-//! The steps of server selection as the design has them, one router at a time.
+//! The steps of server selection, tested on one router at a time.
 
 mod router_harness;
 
@@ -26,7 +26,8 @@
     harness.report(1, false, harness.now - 400 * MILLISECOND);
     harness.now += 100 * MILLISECOND;
     let (id, actions) = harness.submit(BOUNDED_READ, None);
-    // Both replicas were current a tenth of a second ago: inside the bound of 300 ms.
+    // Positions never go back, so both replicas are still known to be current as of 100 ms ago,
+    // which is within the bound of 300 ms.
     assert!(matches!(sent_to(id, &actions), Some(1 | 2)));
 }
 
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -1,4 +1,5 @@
-//! Settings of another customer: what is zero, huge or below zero has a meaning, and no router spins or breaks off on it.
+//! Settings with zero, huge or negative figures: each either has a meaning or is rejected, and no
+//! router loops or panics because of it.
 
 #![allow(clippy::unwrap_used)]
 
@@ -54,7 +55,8 @@
     }
 }
 
-/// Requests of each class while members join, are cold, answer, drain and leave; the shortest timer that the router asks for.
+/// Submits requests of each class while members join, warm up, answer, drain and leave. Returns the
+/// shortest timer that the router sets.
 fn play(settings: &Value) -> Result<TimeDelta, PlatformSettingsError> {
     let platform = PlatformSettings::parse(settings, 7)?;
     let mut router = Router::new(platform.settings.clone());
@@ -105,7 +107,7 @@
     Ok(shortest_timer)
 }
 
-/// Guards against figures that fit one deployment only.
+/// Guards against code that works only with the figures of one deployment.
 #[test]
 fn settings_with_zero_huge_or_negative_figures_are_rejected_or_break_no_router() {
     let settings: Value = serde_json::from_str(include_str!("gateway/settings.json")).unwrap();
@@ -137,7 +139,7 @@
                     "{path} = {value}: it wakes itself after {} ns",
                     soonest.as_nanos()
                 ),
-                // Or it is refused at the start, with the reason.
+                // The settings may also be rejected at the start, with the reason.
                 Err(error) => assert!(
                     error.to_string().contains("ns") || error.to_string().contains("invalid"),
                     "{path} = {value}: {error}"
--- a/tests/shared_health_checks.rs
+++ b/tests/shared_health_checks.rs
@@ -1,4 +1,4 @@
-//! What a router makes of the health checks that gateways share.
+//! How a router uses the health checks that gateways share.
 
 mod router_harness;
 
@@ -13,7 +13,7 @@
 
 const WAIT: StalenessCheck = StalenessCheck::Wait(TimeDelta::from_millis(50));
 
-/// What a member reports.
+/// Lag and cores in use that a member reports.
 #[derive(Clone, Copy)]
 struct Reported {
     lag: TimeDelta,
@@ -24,7 +24,8 @@
     Reported { lag, cores_in_use }
 }
 
-/// One of a hundred gateways, in a zone without members. What it learnt at its start is long past.
+/// A router of one of a hundred gateways, in a zone without members. The reports from its start are
+/// no longer recent.
 fn harness(staleness_check: StalenessCheck) -> RouterHarness {
     let mut settings = settings(staleness_check);
     settings.gateway_count = 100;
@@ -49,7 +50,7 @@
     }
 }
 
-/// Results of health checks of the members 0 to 2 arrive.
+/// Delivers shared health check results for members 0 to 2.
 fn share(harness: &mut RouterHarness, members: [Reported; 3]) -> Vec<Action> {
     let results = (0..3)
         .zip(members)
@@ -58,7 +59,7 @@
     harness.deliver(&[Event::SharedHealthChecks(results)])
 }
 
-/// How many of so many bounded reads go to each member, with results that arrive before each.
+/// Returns how many of `count` bounded reads go to each member, with new results before each read.
 fn reads_by_member(count: usize, members: [Reported; 3]) -> [usize; 3] {
     let mut harness = harness(WAIT);
     let mut reads = [0; 3];
@@ -75,7 +76,8 @@
     reads
 }
 
-/// Guards against a hundred gateways that each check what one of them has just shared.
+/// Guards against a hundred gateways that each check a member whose result one of them has just
+/// shared.
 #[test]
 fn members_checked_by_others_are_not_checked_again() {
     let health_checks_of = |shared: bool| {
@@ -106,7 +108,8 @@
     );
 }
 
-/// Guards against reads that go where they are rejected, as what is known is seconds old.
+/// Guards against reads that are sent to a member that rejects them, because its known position is
+/// seconds old.
 #[test]
 fn replica_found_too_far_behind_gets_no_read() {
     let primary = reported(TimeDelta::ZERO, 0.2);
@@ -117,7 +120,7 @@
     assert!(reads[1] > 50 && reads[2] > 50, "{reads:?}");
 }
 
-/// Guards against a fleet that leaves all reads with a primary which writes fill already.
+/// Guards against a fleet that sends all reads to a primary which is already busy with writes.
 #[test]
 fn reads_without_a_recent_replica_go_to_the_primary_as_far_as_it_has_room() {
     let behind = reported(900 * MILLISECOND, 0.2);
@@ -133,7 +136,7 @@
     assert_eq!(reads_of_primary(1.0), 0);
 }
 
-/// Guards against picks that crowd on a host which others have filled.
+/// Guards against reads that concentrate on a host which other gateways have filled.
 #[test]
 fn reads_lean_to_the_replica_with_cores_to_spare() {
     let reads = reads_by_member(
@@ -147,8 +150,7 @@
     assert!(reads[1] > 4 * reads[2], "{reads:?}");
 }
 
-/// Guards against late results that displace newer ones, whatever the order, and however often
-/// they arrive.
+/// Guards against late results that replace newer ones, in any order and however often they arrive.
 #[test]
 fn older_results_change_nothing() {
     let mut harness = harness(WAIT);
@@ -173,7 +175,8 @@
     assert_eq!(sent_to(id, &actions), Some(2), "{actions:?}");
 }
 
-/// Guards against stale reads on a gateway's word where members do not check reads.
+/// Guards against stale reads because of a wrong result of another gateway, where members do not
+/// check reads.
 #[test]
 fn results_prove_nothing_where_members_do_not_check_reads() {
     let mut harness = harness(StalenessCheck::None);
@@ -186,7 +189,7 @@
     );
 }
 
-/// Guards against a host that this gateway's endpoint list has not named.
+/// Guards against results for a host that is not in this gateway's endpoint list.
 #[test]
 fn results_of_unknown_members_are_ignored() {
     let mut harness = harness(WAIT);
@@ -195,7 +198,7 @@
     assert_eq!(actions, vec![]);
 }
 
-/// Guards against a fleet that sends a host more than it can do until it serves nothing in time.
+/// Guards against a fleet that overloads a host until it answers nothing in time.
 #[test]
 fn busy_member_is_spared_a_share_of_its_requests_and_writes_last() {
     let sent_at_once = |class: usize, cores_in_use: f64| {
--- a/tests/slow_start_across_gateways.rs
+++ b/tests/slow_start_across_gateways.rs
@@ -1,5 +1,5 @@
-//! What a fleet of gateways sends one cold member, added up over all of them, against the budget
-//! that the settings give that member. No gateway knows what the others send.
+//! Compares the load that all gateways together send a member in slow start with the budget that
+//! the settings give it. No gateway knows the load of the others.
 
 mod router_harness;
 
@@ -13,35 +13,36 @@
 use std::collections::BTreeMap;
 
 const MEMBERS: u32 = 6;
-/// The cold member, where there is one.
+/// The member in slow start, in situations that have only one.
 const COLD: u32 = 5;
-/// Requests that a warm member can serve in a second.
+/// Requests per second that a fully warmed-up member can serve.
 const CAPACITY_PER_SECOND: f64 = 100.0;
-/// Requests that it serves at the same time.
+/// Requests that such a member serves at the same time.
 const CONCURRENCY: f64 = 6.0;
 /// Share of writes among the requests.
 const WRITE_SHARE: f64 = 0.1;
-/// How often clients come on average in a release, as they retry.
+/// Mean number of tries of each client during a release.
 const TRIES_IN_A_RELEASE: f64 = 2.6;
-/// Time that is simulated.
+/// Simulated time.
 const DURATION: TimeDelta = TimeDelta::from_secs(8);
 
-/// What else happens.
+/// State of the members during a run.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Situation {
-    /// The cold member answers as quickly as it can.
+    /// The member in slow start serves requests at its current capacity.
     Serves,
-    /// It is behind, and rejects reads at once: each of these counts, too.
+    /// The member in slow start lags behind and rejects reads at once. Rejected reads count towards
+    /// its budget.
     Behind,
-    /// It serves, while two of the other members have fallen silent.
+    /// The member in slow start serves, while two of the other members are unreachable.
     OthersSilent,
-    /// Three members are left, all of them cold and one of them the new primary. The three that
-    /// were drained are removed already. Replicas are behind. Clients retry again and again.
+    /// A release has drained and removed three members. The other three are in slow start, and one
+    /// of them is the new primary. The replicas lag behind, and clients retry repeatedly.
     Release,
 }
 
 impl Situation {
-    /// The members with this number and above are cold.
+    /// Returns the first member in slow start; those with higher numbers are in slow start, too.
     fn first_cold(self) -> u32 {
         if self == Situation::Release {
             3
@@ -58,7 +59,8 @@
         }
     }
 
-    /// How a request at a member ends: after this time if it is served.
+    /// Returns when and how an attempt at a member ends. `service_time` applies if the member
+    /// serves it.
     fn outcome(self, member: u32, service_time: TimeDelta) -> (TimeDelta, Outcome) {
         let is_cold_replica = member >= self.first_cold() && member != self.primary();
         match self {
@@ -90,13 +92,13 @@
     started_at: Timestamp,
     now: Timestamp,
     rng: oorandom::Rand64,
-    /// Requests in flight by member, of all gateways.
+    /// Number of requests of all gateways in flight, by member.
     member_load: [f64; MEMBERS as usize],
-    /// By the time at which they end, and their number.
+    /// Attempts in flight, ordered by the time at which they end, then by sequence number.
     in_flight: BTreeMap<(Timestamp, u64), InFlight>,
     sent: u64,
     attempts: BTreeMap<(usize, RequestId), u32>,
-    /// When cold members were sent a request.
+    /// Times at which requests were sent to each member in slow start.
     cold_sends: BTreeMap<u32, Vec<Timestamp>>,
 }
 
@@ -131,7 +133,8 @@
         }
     }
 
-    /// Requests come in at this multiple of the warm members' capacity.
+    /// Runs the simulation with requests at this multiple of the total capacity of members that are
+    /// fully warmed up.
     fn run(&mut self, load: f64) {
         let tries = if self.situation == Situation::Release {
             TRIES_IN_A_RELEASE
@@ -160,7 +163,7 @@
         }
     }
 
-    /// A request comes in at some gateway.
+    /// Submits a request to a random gateway. Returns the gateway and its actions.
     fn submit_request(&mut self) -> (usize, Vec<Action>) {
         let gateway = self.rng.rand_range(0..self.gateways.len() as u64) as usize;
         self.gateways[gateway].now = self.now;
@@ -172,7 +175,7 @@
         (gateway, self.gateways[gateway].submit(class, None).1)
     }
 
-    /// The next attempt ends.
+    /// Ends the attempt that is due next. Returns its gateway and the gateway's actions.
     fn end_attempt(&mut self) -> (usize, Vec<Action>) {
         let (_, ended) = self.in_flight.pop_first().expect("an attempt in flight");
         let InFlight {
@@ -235,13 +238,14 @@
         self.sent += 1;
     }
 
-    /// Share of its capacity that a cold member has.
+    /// Returns the share of its capacity that a member in slow start has.
     fn warmth(&self, at: Timestamp) -> f64 {
         let age = (at - self.started_at).as_nanos_f64() / self.rules.warm_up_time.as_nanos_f64();
         self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * age.min(1.0)
     }
 
-    /// Requests that a cold member may get in an overload window, and what chance adds to them.
+    /// Returns the number of requests that a member in slow start may get in an overload window,
+    /// plus a margin for random variation.
     fn budget(&self, at: Timestamp) -> f64 {
         let window = self.rules.overload_window.as_nanos_f64() / SECOND.as_nanos_f64();
         let capacity = self.warmth(at) * CAPACITY_PER_SECOND;
@@ -249,7 +253,7 @@
         budget + 2.0 * budget.sqrt() + 2.0
     }
 
-    /// Most that the sends to one cold member exceed its budget in any window.
+    /// Returns the largest excess of the requests sent to a member over its budget in any window.
     fn excess(&self, sends: &[Timestamp]) -> f64 {
         let window = self.rules.overload_window;
         let in_window_before = |end: Timestamp| {
@@ -262,7 +266,7 @@
     }
 }
 
-/// A gateway that knows all members, and which of them are cold.
+/// Creates a gateway that knows all members, and which of them are in slow start.
 fn gateway(settings: Settings, situation: Situation) -> RouterHarness {
     let mut harness = RouterHarness::new(settings);
     let first_cold = situation.first_cold();
@@ -286,8 +290,7 @@
     harness
 }
 
-/// Requests beyond the budget and what chance adds to it, in the worst window of the worst cold
-/// member.
+/// Returns the excess over the budget with its margin, in the worst window of the worst member.
 fn worst_excess(gateway_count: u32, load: f64, situation: Situation, seed: u64) -> f64 {
     let mut fleet = Fleet::new(gateway_count, situation, seed);
     fleet.run(load);
@@ -296,8 +299,8 @@
         .fold(f64::NEG_INFINITY, f64::max)
 }
 
-/// Guards against shares that are each harmless and together knock a cold member over: however many
-/// gateways there are, however quickly it answers, and whatever the other members can do.
+/// Guards against loads that are each harmless and together overload a member in slow start,
+/// whatever the number of gateways, the speed of its answers and the state of the other members.
 #[test]
 fn all_gateways_together_keep_the_budget_of_a_cold_member() {
     let situations = [
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -86,7 +86,8 @@
     serde_json::from_str::<RoutingSnapshot>(document).is_ok()
 }
 
-/// What is rejected makes a new version start without what the old one knew, so this must not change unnoticed.
+/// If a snapshot is rejected, the new version starts without the state of the old one, so this must
+/// not change unnoticed.
 #[test]
 fn keys_twice_and_values_of_other_types_are_rejected_and_values_by_position_accepted() {
     let member = |record: &str| format!(r#"{{"members": [[7, {record}]]}}"#);
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -1,4 +1,4 @@
-//! Instants and lengths of time: their arithmetic, its limits, and their JSON.
+//! Timestamps and time deltas: arithmetic, overflow and JSON.
 
 use irisrouter::routing::{TimeDelta, Timestamp};
 use serde_json::json;
