--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -15,16 +15,16 @@
 const PRIMARY_CORE_RESERVE: f64 = 0.3;
 /// Share of the load budget of a member in slow start that is used, because the load from other
 /// gateways can only be estimated.
-const SLOW_START_SAFETY: f64 = 0.4;
+const SLOW_START_BUDGET_SHARE: f64 = 0.4;
 /// Maximum load of one member in slow start, as a multiple of its proportional part of the reads.
 /// It may exceed that part when the other members are full or behind.
 const SLOW_START_MAX_CONCENTRATION: f64 = 2.0;
 /// A queued request is given up, and no retry or hedged request is started, when fewer than this
 /// many usual latencies are left for an answer.
-const LATENCIES_LEFT_TO_SEND: f64 = 1.5;
+const MIN_LATENCIES_LEFT: f64 = 1.5;
 /// Ticks before the client's deadline in which a queued request is given up and nothing is retried
 /// or hedged.
-const TICKS_BEFORE_DEADLINE: i64 = 2;
+const DEADLINE_MARGIN_TICKS: i64 = 2;
 
 impl Router {
     /// Sends a request to a member if every rule allows it. All attempts are sent by this function.
@@ -35,7 +35,7 @@
             return false;
         }
         let now = self.fleet.now;
-        let timeout = self.answer_needed_by(request) - now;
+        let timeout = self.answer_deadline(request) - now;
         let hedge_at = self.hedge_at(request);
         self.fleet.request_sent(member, request.class);
         let request = self.requests.get_mut(id);
@@ -64,23 +64,24 @@
         // Rule 3: draining members get no attempts, from the start of the drain rather than from
         // the end of the grace period.
         let in_service = self.fleet.in_service(id) && member.identity.group == request.group;
-        self.may_be_answered(request)
-            && self.has_no_effect_twice(request, member)
+        self.can_be_answered_in_time(request)
+            && self.cannot_take_effect_twice(request, member)
             && in_service
             // Rule 4: the load budget of a member in slow start is not exceeded.
             && self.slow_start_admits(id, request)
             && self.is_fresh_enough(request, id)
     }
 
-    /// Rule 1: no attempt is sent after the final answer, or when its answer would be too late.
-    fn may_be_answered(&self, request: &Request) -> bool {
+    /// Rule 1: no attempt is sent after the final answer, when its answer would be too late, or
+    /// beyond the maximum number of attempts.
+    fn can_be_answered_in_time(&self, request: &Request) -> bool {
         !request.answered
-            && self.fleet.now < self.answer_needed_by(request)
+            && self.fleet.now < self.answer_deadline(request)
             && self.has_attempts_left(request)
     }
 
     /// Rule 2: no request takes effect twice.
-    fn has_no_effect_twice(&self, request: &Request, member: &Member) -> bool {
+    fn cannot_take_effect_twice(&self, request: &Request, member: &Member) -> bool {
         let limits = &self.fleet.settings.limits;
         if request.is_in_flight() && !limits.hedged_requests {
             return false;
@@ -110,7 +111,7 @@
         let is_checked = self.fleet.settings.staleness_check != StalenessCheck::None
             || self.class(request).freshness == Freshness::Write;
         is_checked
-            || self.is_proven_recent(id, request)
+            || self.has_required_position(id, request)
             || self.fleet.member(id).replication.is_primary()
     }
 
@@ -125,21 +126,24 @@
     }
 
     /// Returns whether the member is known to have reached the position that the request requires.
-    pub(super) fn is_proven_recent(&self, id: MemberId, request: &Request) -> bool {
+    pub(super) fn has_required_position(&self, id: MemberId, request: &Request) -> bool {
         self.fleet.member(id).replication.position >= self.required_position(request)
     }
 
     /// Returns whether the member is in service and no earlier attempt rules it out: an attempt
     /// that is in flight there, or one that never ran there and was sent less than a connect
     /// timeout ago.
-    pub(super) fn is_open_to(&self, id: MemberId, request: &Request) -> bool {
-        let recently = self.fleet.settings.limits.connect_timeout;
-        let bars = |attempt: &Attempt| match attempt.outcome {
+    pub(super) fn is_available_for(&self, id: MemberId, request: &Request) -> bool {
+        let exclusion_time = self.fleet.settings.limits.connect_timeout;
+        let rules_out = |attempt: &Attempt| match attempt.outcome {
             None => true,
-            Some(outcome) => outcome.never_ran() && self.fleet.now - attempt.sent_at < recently,
+            Some(outcome) => {
+                outcome.never_ran() && self.fleet.now - attempt.sent_at < exclusion_time
+            }
         };
         let mut attempts = request.attempts.iter();
-        self.fleet.in_service(id) && !attempts.any(|attempt| attempt.member == id && bars(attempt))
+        self.fleet.in_service(id)
+            && !attempts.any(|attempt| attempt.member == id && rules_out(attempt))
     }
 
     /// Returns whether the request is below the maximum number of attempts.
@@ -148,14 +152,14 @@
     }
 
     /// Returns the time from which an answer is of no use to the client.
-    fn answer_needed_by(&self, request: &Request) -> Timestamp {
+    fn answer_deadline(&self, request: &Request) -> Timestamp {
         let class = self.class(request);
         // An idempotent read whose answer has no value after the latency objective should not
         // occupy capacity after it.
-        let worthless_when_late = class.late_weight == 0.0
+        let is_worthless_when_late = class.late_weight == 0.0
             && class.idempotency == Idempotency::Idempotent
             && class.objective_stretch == 0.0;
-        if worthless_when_late {
+        if is_worthless_when_late {
             let objective_ends_at = request.arrived_at + class.latency_objective;
             return request.deadline.min(objective_ends_at);
         }
@@ -163,11 +167,11 @@
     }
 
     /// Returns the time after which an attempt is unlikely to be answered in time.
-    pub(super) fn latest_send(&self, request: &Request) -> Timestamp {
+    pub(super) fn latest_send_time(&self, request: &Request) -> Timestamp {
         let usual_latency = self.fleet.class_latency.usual(request.class);
-        let time_to_answer = TimeDelta::from_nanos_f64(usual_latency * LATENCIES_LEFT_TO_SEND);
-        let margin = TICKS_BEFORE_DEADLINE * self.fleet.settings.tick;
-        (self.answer_needed_by(request) - time_to_answer).min(request.deadline - margin)
+        let time_to_answer = TimeDelta::from_nanos_f64(usual_latency * MIN_LATENCIES_LEFT);
+        let margin = DEADLINE_MARGIN_TICKS * self.fleet.settings.tick;
+        (self.answer_deadline(request) - time_to_answer).min(request.deadline - margin)
     }
 
     /// Returns whether the failover plan admits a request of this class. While a site is lost, the
@@ -181,49 +185,49 @@
 
     /// Returns whether the member has capacity for one more request, within this share of its
     /// capacity.
-    pub(super) fn has_room(&self, id: MemberId, request: &Request, share: f64) -> bool {
-        let has_room = if !self.fleet.is_large() {
-            self.is_under_own_limit(self.fleet.member(id), share)
+    pub(super) fn has_capacity(&self, id: MemberId, request: &Request, share: f64) -> bool {
+        let has_capacity = if !self.fleet.is_large() {
+            self.is_below_gateway_limit(self.fleet.member(id), share)
         } else if self.fleet.settings.in_flight_reported {
-            self.is_under_shared_limit(id, share)
+            self.is_below_shared_limit(id, share)
         } else {
-            self.has_cores_to_spare(self.fleet.member(id), request, share)
+            self.has_idle_cores(self.fleet.member(id), request, share)
         };
-        has_room && self.slow_start_admits(id, request)
+        has_capacity && self.slow_start_admits(id, request)
     }
 
-    /// Returns whether the member has capacity by this gateway's own concurrency limit.
-    fn is_under_own_limit(&self, member: &Member, share: f64) -> bool {
+    /// Returns whether the member is below this gateway's own concurrency limit.
+    fn is_below_gateway_limit(&self, member: &Member, share: f64) -> bool {
         let limit = member.concurrency_limit.limit * share;
         let in_flight = f64::from(member.load.in_flight);
         // With a limit below one, requests are sent one at a time, and each is followed by a pause
         // in proportion to its usual latency.
-        let pause_is_over = self.fleet.now >= member.concurrency_limit.next_send_at;
-        let next_is_due = limit < 1.0 && in_flight == 0.0 && pause_is_over;
+        let pause_has_ended = self.fleet.now >= member.concurrency_limit.next_send_at;
+        let next_is_due = limit < 1.0 && in_flight == 0.0 && pause_has_ended;
         next_is_due || in_flight + 1.0 <= limit
     }
 
-    /// Returns whether the member has capacity by the number of requests in flight that it reports,
-    /// in a large fleet.
-    fn is_under_shared_limit(&self, id: MemberId, share: f64) -> bool {
+    /// Returns whether the member is below the shared concurrency limit, by the number of requests
+    /// in flight that it reports (large fleets only).
+    fn is_below_shared_limit(&self, id: MemberId, share: f64) -> bool {
         let member = self.fleet.member(id);
-        let of_others = self.fleet.cautious_in_flight_of_others(id);
+        let in_flight_of_others = self.fleet.conservative_in_flight_of_others(id);
         let limit = self.fleet.shared_limit.limit * member.identity.size * share;
-        of_others + f64::from(member.load.in_flight) + 1.0 <= limit.max(1.0)
+        in_flight_of_others + f64::from(member.load.in_flight) + 1.0 <= limit.max(1.0)
     }
 
-    /// Returns whether the member has capacity by the share of cores in use that it reports, in a
-    /// large fleet. An overloaded member serves all its requests too late, so a share of the
-    /// requests is withheld from it; writes are shed last.
-    fn has_cores_to_spare(&self, member: &Member, request: &Request, share: f64) -> bool {
+    /// Returns whether the member has idle cores for the request, by the share of cores in use that
+    /// it reports (large fleets only). An overloaded member serves all its requests too late, so a
+    /// share of the requests is withheld from it; writes are shed last.
+    fn has_idle_cores(&self, member: &Member, request: &Request, share: f64) -> bool {
         let load = &member.load;
-        let shed_of_class = if self.class(request).freshness == Freshness::Write {
+        let class_shed_share = if self.class(request).freshness == Freshness::Write {
             2.0 * load.shed_share - 1.0
         } else {
             load.shed_share
         };
         let shared = self.fleet.has_shared_health_checks(request.group);
-        let shed_share = shed_of_class * f64::from(shared);
+        let shed_share = class_shed_share * f64::from(shared);
         let idle_cores = (1.0 - load.cores_in_use) / PRIMARY_CORE_RESERVE;
         (share >= 1.0 || request.sample < idle_cores) && request.sample < 1.0 - shed_share
     }
@@ -235,8 +239,9 @@
     /// Any number of gateways stay within it without coordination, because each admits the same
     /// share of its requests, by a random number that is drawn once for each request.
     fn slow_start_admits(&self, id: MemberId, request: &Request) -> bool {
-        let is_cold = self.fleet.warmth(id) < 1.0;
-        self.recovery_ramp_admits(id, request) && (!is_cold || self.cold_member_admits(id, request))
+        let in_slow_start = self.fleet.warm_up_share(id) < 1.0;
+        self.recovery_ramp_admits(id, request)
+            && (!in_slow_start || self.slow_start_budget_admits(id, request))
     }
 
     /// Returns whether the recovery ramp of the member's zone admits the request. A zone on a ramp
@@ -250,64 +255,71 @@
     }
 
     /// Returns whether a member in slow start can take the request: the request is within the share
-    /// that the member's capacity allows, and is not released later because it was queued before
-    /// the member recovered. A read must also be assigned to this member and be short, because a
-    /// long one would use up the budget alone.
-    fn cold_member_admits(&self, id: MemberId, request: &Request) -> bool {
+    /// that the member's capacity allows, and does not belong to a backlog that is released later.
+    /// A read must also be assigned to this member and be short, because a long one would use up
+    /// the budget alone.
+    fn slow_start_budget_admits(&self, id: MemberId, request: &Request) -> bool {
         let rules = &self.fleet.settings.rules;
-        let warmth_of_group = self.warmth_of_open_members(id, request);
+        let total_warm_up_share = self.total_warm_up_share(id, request);
         let requires_primary = self.fleet.requires_primary(request.class);
         let group = &self.fleet.groups[&self.fleet.member(id).identity.group];
         // Reads are divided among the members by the capacity that they have reached; requests that
         // require the primary are not divided.
         let capacity = if requires_primary {
-            self.fleet.warmth(id)
+            self.fleet.warm_up_share(id)
         } else {
-            warmth_of_group / group.full_size.max(1) as f64
+            total_warm_up_share / group.full_size.max(1) as f64
         };
-        let admitted_share = rules.overload_multiple * SLOW_START_SAFETY * capacity;
-        let place = request.sample / admitted_share;
-        if request.sample >= admitted_share || self.is_backlog(id, request, place) {
+        let admitted_share = rules.overload_multiple * SLOW_START_BUDGET_SHARE * capacity;
+        let normalized_sample = request.sample / admitted_share;
+        if request.sample >= admitted_share
+            || self.is_backlog_to_hold(id, request, normalized_sample)
+        {
             return false;
         }
         requires_primary
-            || self.is_own_part(id, place, warmth_of_group)
-                && self.fleet.is_short_when_cold(request.class)
+            || self.is_assigned_to(id, normalized_sample, total_warm_up_share)
+                && self.fleet.is_short_enough_for_slow_start(request.class)
     }
 
     /// Returns the sum of the capacity shares that this member and the members that can serve the
     /// request instead have reached in slow start. Failed and draining members are left out,
     /// because their part of the requests goes to the others too.
-    fn warmth_of_open_members(&self, id: MemberId, request: &Request) -> f64 {
+    fn total_warm_up_share(&self, id: MemberId, request: &Request) -> f64 {
         let group = &self.fleet.groups[&self.fleet.member(id).identity.group];
-        let is_open = |other: MemberId| {
-            other == id || !self.fleet.is_suspected(other) && self.is_open_to(other, request)
+        let is_available = |other: MemberId| {
+            other == id || !self.fleet.is_suspected(other) && self.is_available_for(other, request)
         };
         (group.members.iter().copied())
-            .filter(|&other| is_open(other))
-            .map(|other| self.fleet.warmth(other))
+            .filter(|&other| is_available(other))
+            .map(|other| self.fleet.warm_up_share(other))
             .sum::<f64>()
     }
 
     /// Returns whether the request arrived before the member recovered and must still wait. A
     /// backlog must not be sent all at once, so each of its requests is released at its own time in
     /// the overload window that follows the recovery.
-    fn is_backlog(&self, id: MemberId, request: &Request, place: f64) -> bool {
+    fn is_backlog_to_hold(&self, id: MemberId, request: &Request, normalized_sample: f64) -> bool {
         let window = self.fleet.settings.rules.overload_window;
         let recovered_at = self.fleet.member(id).reachability.recovered_at;
-        let turn = TimeDelta::from_nanos_f64(place * window.as_nanos_f64());
-        request.arrived_at < recovered_at && self.fleet.now - recovered_at < turn
+        let release_delay = TimeDelta::from_nanos_f64(normalized_sample * window.as_nanos_f64());
+        request.arrived_at < recovered_at && self.fleet.now - recovered_at < release_delay
     }
 
     /// Returns whether the member is one of those that the read is assigned to. Each read is
-    /// assigned to a part of the members in slow start, so that no single one gets all reads; the
-    /// part of a primary is the smallest.
-    fn is_own_part(&self, id: MemberId, place: f64, warmth_of_group: f64) -> bool {
+    /// assigned to only some of the members in slow start, so that no single member gets all reads.
+    /// A primary is assigned fewer reads than a replica.
+    fn is_assigned_to(
+        &self,
+        id: MemberId,
+        normalized_sample: f64,
+        total_warm_up_share: f64,
+    ) -> bool {
         let group_id = self.fleet.member(id).identity.group;
         let is_primary = self.fleet.primary(group_id) == Some(id);
-        let part = if is_primary { PRIMARY_READ_SHARE } else { 1.0 };
-        let concentration = SLOW_START_MAX_CONCENTRATION * part;
-        let distance = self.fleet.groups[&group_id].distance_from(id, place);
-        distance < concentration * self.fleet.warmth(id) / warmth_of_group
+        let share = if is_primary { PRIMARY_READ_SHARE } else { 1.0 };
+        let concentration = SLOW_START_MAX_CONCENTRATION * share;
+        let distance = self.fleet.groups[&group_id].distance_from(id, normalized_sample);
+        distance < concentration * self.fleet.warm_up_share(id) / total_warm_up_share
     }
 }
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -41,7 +41,7 @@
 
 impl Promptness {
     /// Classifies an answer by the time since its attempt was sent.
-    pub(super) fn of(elapsed: TimeDelta, latency_objective: TimeDelta) -> Self {
+    pub(super) fn from_latency(elapsed: TimeDelta, latency_objective: TimeDelta) -> Self {
         if elapsed > latency_objective {
             Promptness::Late
         } else if elapsed * PROMPT_DIVISOR < latency_objective {
--- a/src/routing/fleet.rs
+++ b/src/routing/fleet.rs
@@ -14,13 +14,13 @@
 use super::member::Member;
 use super::selection_schedule::SelectionSchedule;
 use super::settings::{Freshness, Settings};
-use super::slow_start::warmth;
+use super::slow_start::warm_up_share;
 use super::time::{TimeDelta, Timestamp};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// The fleet is large if one gateway's part of a member's initial limit is below this. Limits per
 /// gateway are then useless, because they round to zero.
-const MIN_LIMIT_OF_ONE_GATEWAY: f64 = 0.2;
+const MIN_LIMIT_PER_GATEWAY: f64 = 0.2;
 /// Time for which a report of requests in flight is recent, in usual latencies of the shortest
 /// class.
 const IN_FLIGHT_REPORT_LIFETIME: f64 = 2.0;
@@ -31,7 +31,7 @@
 const SLOW_START_LONG_DIVISOR: f64 = 2.0;
 /// Margin that is added to a session's position, because commit times are rounded up and positions
 /// down to the millisecond.
-const COMMIT_ROUNDING: TimeDelta = TimeDelta::from_millis(1);
+const COMMIT_ROUNDING_MARGIN: TimeDelta = TimeDelta::from_millis(1);
 /// Number of connect timeouts for which a report that a member is full counts.
 const FULL_REPORT_LIFETIME: i64 = 4;
 
@@ -98,7 +98,7 @@
     /// Returns whether the fleet is large: one gateway sends each member so few requests that
     /// limits per gateway are meaningless.
     pub(super) fn is_large(&self) -> bool {
-        INITIAL_LIMIT < MIN_LIMIT_OF_ONE_GATEWAY * f64::from(self.settings.gateway_count)
+        INITIAL_LIMIT < MIN_LIMIT_PER_GATEWAY * f64::from(self.settings.gateway_count)
     }
 
     /// Returns whether selection relies on reports of a member's load: the fleet is large, and
@@ -111,7 +111,7 @@
     /// observes a member less often.
     pub(super) fn observation_lifetime(&self) -> TimeDelta {
         let gateways = f64::from(self.settings.gateway_count);
-        let stretch = (gateways * MIN_LIMIT_OF_ONE_GATEWAY / INITIAL_LIMIT).max(1.0);
+        let stretch = (gateways * MIN_LIMIT_PER_GATEWAY / INITIAL_LIMIT).max(1.0);
         let connect_timeout = self.settings.limits.connect_timeout.as_nanos_f64();
         TimeDelta::from_nanos_f64(OBSERVATION_LIFETIME * stretch * connect_timeout)
     }
@@ -135,7 +135,7 @@
     }
 
     /// Returns whether requests of this class are short enough for a member in slow start.
-    pub(super) fn is_short_when_cold(&self, class: usize) -> bool {
+    pub(super) fn is_short_enough_for_slow_start(&self, class: usize) -> bool {
         let latency = &self.class_latency;
         latency.usual(class) * SLOW_START_LONG_DIVISOR <= latency.short_class_limit()
     }
@@ -147,7 +147,7 @@
         last_write_age: Option<TimeDelta>,
     ) -> Timestamp {
         if self.settings.last_write_age_carried {
-            let position = |age| self.now - age + COMMIT_ROUNDING;
+            let position = |age| self.now - age + COMMIT_ROUNDING_MARGIN;
             return last_write_age.map_or(Timestamp::MIN, position);
         }
         let commit = session.and_then(|session| self.session_commits.get(&session).copied());
@@ -202,9 +202,9 @@
 
     /// Returns the minimum share of its capacity that the member has reached by now in slow start,
     /// 0 to 1.
-    pub(super) fn warmth(&self, id: MemberId) -> f64 {
+    pub(super) fn warm_up_share(&self, id: MemberId) -> f64 {
         let started = self.member(id).identity.started;
-        warmth(started, self.now, &self.settings.rules)
+        warm_up_share(started, self.now, &self.settings.rules)
     }
 
     /// Returns the age of the member's last load report, as a multiple of the time for which such a
@@ -245,7 +245,7 @@
     /// Returns the same estimate, but at least the number in the last report unless that is too
     /// old, so that a member that has recently reported to be full counts as full until it reports
     /// otherwise.
-    pub(super) fn cautious_in_flight_of_others(&self, id: MemberId) -> f64 {
+    pub(super) fn conservative_in_flight_of_others(&self, id: MemberId) -> f64 {
         let load = &self.member(id).load;
         let lifetime = FULL_REPORT_LIFETIME * self.settings.limits.connect_timeout;
         let last_reported = if self.now - load.reported_at < lifetime {
--- a/src/routing/fleet_updates.rs
+++ b/src/routing/fleet_updates.rs
@@ -57,14 +57,14 @@
         for endpoint in endpoints {
             self.apply_endpoint(endpoint);
         }
-        let concerned: BTreeSet<MemberId> = if complete {
+        let affected: BTreeSet<MemberId> = if complete {
             self.members.keys().copied().collect()
         } else {
             endpoints.iter().map(|endpoint| endpoint.member).collect()
         };
         let mut groups = BTreeSet::new();
-        for id in concerned {
-            self.note_removal(id);
+        for id in affected {
+            self.record_removal(id);
             groups.insert(self.member(id).identity.group);
         }
         self.forget_removed_members();
@@ -76,7 +76,7 @@
     }
 
     /// Records whether a member is removed, and since when.
-    fn note_removal(&mut self, id: MemberId) {
+    fn record_removal(&mut self, id: MemberId) {
         let now = self.now;
         let service = &mut self.member_mut(id).service;
         if service.removed {
@@ -114,7 +114,7 @@
         let long_ago = self.now - 2 * self.settings.rules.warm_up_time;
         let is_forgotten = |id: &MemberId| {
             let member = self.member(*id);
-            !self.accepts_requests(member) && member.is_forgettable(long_ago)
+            !self.accepts_requests(member) && member.can_be_forgotten(long_ago)
         };
         let removed = self.removed_members.iter().copied();
         let forgotten: Vec<MemberId> = removed.filter(is_forgotten).collect();
@@ -181,10 +181,10 @@
         member.ejection.attempt_ended(outcome, now, connect_timeout);
         match outcome {
             Outcome::Ok => {
-                member.reachability.recovered(now);
+                member.reachability.record_answer(now);
                 member.latency.record(elapsed, usual_latency, weight);
                 self.class_latency.record(class, elapsed);
-                self.adjust_limits(id, class, Promptness::of(elapsed, objective));
+                self.adjust_limits(id, class, Promptness::from_latency(elapsed, objective));
             }
             Outcome::Full => self.decrease_limits(id, class),
             Outcome::TimedOut => {
@@ -192,12 +192,12 @@
                     self.decrease_limits(id, class);
                 }
                 // A member that still answers other requests is slow, but can be reached.
-                let last_heard_at = self.member(id).reachability.last_heard_at;
-                if last_heard_at + connect_timeout < now {
-                    self.failed_to_reach(id);
+                let last_answered_at = self.member(id).reachability.last_answered_at;
+                if last_answered_at + connect_timeout < now {
+                    self.record_unreachable(id);
                 }
             }
-            Outcome::ConnectFailed | Outcome::Reset => self.failed_to_reach(id),
+            Outcome::ConnectFailed | Outcome::Reset => self.record_unreachable(id),
             Outcome::Error | Outcome::Cancelled | Outcome::NotSent | Outcome::Unsuitable => {}
         }
         self.reachability_changed(id);
@@ -231,12 +231,12 @@
     }
 
     /// Records a failure to reach a member.
-    fn failed_to_reach(&mut self, id: MemberId) {
+    fn record_unreachable(&mut self, id: MemberId) {
         let now = self.now;
         let connect_timeout = self.settings.limits.connect_timeout;
         self.member_mut(id)
             .reachability
-            .failed(now, connect_timeout);
+            .record_failure(now, connect_timeout);
         self.reachability_changed(id);
     }
 
@@ -246,8 +246,9 @@
         let now = self.now;
         let member = self.member_mut(result.member);
         member.replication.apply_status(status, now);
-        let remembered = self.is_write(result.class) && !self.settings.last_write_age_carried;
-        if let (true, Some(session), Some(position)) = (remembered, result.session, status.position)
+        let stores_commit = self.is_write(result.class) && !self.settings.last_write_age_carried;
+        if let (true, Some(session), Some(position)) =
+            (stores_commit, result.session, status.position)
         {
             let commit = self.session_commits.entry(session).or_insert(position);
             *commit = (*commit).max(position);
@@ -260,9 +261,9 @@
         let member = (self.members.get_mut(&id)).expect("a member that answers is known");
         member.replication.apply_report(report, now);
         if let Some(in_flight) = report.in_flight {
-            member.load.in_flight_reported(in_flight, now);
+            member.load.apply_in_flight_report(in_flight, now);
             self.load
-                .member_reported(&member.load, member.identity.size);
+                .apply_member_report(&member.load, member.identity.size);
         }
     }
 
@@ -296,8 +297,10 @@
         member.health_check.outstanding = false;
         let group = member.identity.group;
         match outcome {
-            Outcome::Ok => member.reachability.recovered(now),
-            Outcome::ConnectFailed | Outcome::Reset | Outcome::TimedOut => self.failed_to_reach(id),
+            Outcome::Ok => member.reachability.record_answer(now),
+            Outcome::ConnectFailed | Outcome::Reset | Outcome::TimedOut => {
+                self.record_unreachable(id)
+            }
             _ => {}
         }
         self.selection.group_changed(group);
@@ -320,15 +323,15 @@
             let round = group.map(|group| (group, result.at));
             if let Some((group, obtained_at)) = round.filter(|_| round != last) {
                 last = round;
-                self.shared_result(group, obtained_at);
-                self.select_again(group);
+                self.record_shared_result(group, obtained_at);
+                self.schedule_selection(group);
             }
         }
     }
 
     /// Schedules selection for the queued requests of a group, if it has any, after a change to its
     /// state.
-    fn select_again(&mut self, id: GroupId) {
+    fn schedule_selection(&mut self, id: GroupId) {
         let group = self.group_mut(id);
         if group.has_queued_requests() {
             self.selection.group_changed(id);
@@ -348,8 +351,8 @@
             if is_newest && !self.settings.in_flight_reported {
                 member
                     .load
-                    .cores_in_use_reported(cores_in_use, size, result.at);
-                self.load.member_reported(&member.load, size);
+                    .apply_cores_report(cores_in_use, size, result.at);
+                self.load.apply_member_report(&member.load, size);
             }
         }
         if !member.replication.apply_report(result.report, result.at) {
--- a/src/routing/group.rs
+++ b/src/routing/group.rs
@@ -36,10 +36,10 @@
     /// Returns the distance on the unit circle from a member's point forward to `position`, which
     /// is from 0 to 1. The members' points are evenly spaced, so that members that each take the
     /// positions that follow their own point take different requests.
-    pub(super) fn distance_from(&self, member: MemberId, number: f64) -> f64 {
-        let position = self.members.iter().position(|&other| other == member);
-        let point = position.unwrap_or(0) as f64 / self.full_size.max(1) as f64;
-        (number - point).rem_euclid(1.0)
+    pub(super) fn distance_from(&self, member: MemberId, position: f64) -> f64 {
+        let index = self.members.iter().position(|&other| other == member);
+        let point = index.unwrap_or(0) as f64 / self.full_size.max(1) as f64;
+        (position - point).rem_euclid(1.0)
     }
 
     /// Returns whether any queue has an entry.
--- a/src/routing/health_check.rs
+++ b/src/routing/health_check.rs
@@ -8,10 +8,10 @@
 use super::identifiers::{GroupId, MemberId};
 use super::time::{TimeDelta, Timestamp};
 
-/// Number of on-demand health checks that each request pays for, expressed as their cost: a share
-/// of the priority weight ...
+/// Cost of the on-demand health checks that each request pays for, as a share of the total priority
+/// weight. Divided by `health_check_price`, it gives the number of checks.
 const ON_DEMAND_SHARE_OF_WEIGHT: f64 = 0.04;
-/// ... with this maximum number.
+/// Maximum number of on-demand health checks that each request pays for.
 const MAX_ON_DEMAND_PER_REQUEST: f64 = 2.0;
 /// Number of periodic health checks that each request pays for.
 const PERIODIC_PER_REQUEST: f64 = 0.1;
@@ -43,7 +43,7 @@
     }
 
     /// Records that a health check is sent now.
-    pub(super) fn sent(&mut self, now: Timestamp) {
+    pub(super) fn record_sent(&mut self, now: Timestamp) {
         self.sent_at = now;
         self.outstanding = true;
     }
@@ -77,7 +77,7 @@
     /// What the queued requests wait for.
     pub(super) needs: UnmetNeeds,
     /// When the current search for a primary started.
-    primary_sought_since: Option<Timestamp>,
+    primary_search_started_at: Option<Timestamp>,
     /// When a replica's position was last checked.
     position_checked_at: Timestamp,
     /// When a gateway that shares its results last obtained one for this group.
@@ -88,7 +88,7 @@
     /// Clears the needs before selection runs again and collects them anew.
     pub(super) fn reset_needs(&mut self) {
         if !self.needs.primary {
-            self.primary_sought_since = None;
+            self.primary_search_started_at = None;
         }
         self.needs = UnmetNeeds::default();
     }
@@ -99,7 +99,7 @@
     }
 
     /// Records that a gateway that shares its results obtained one at `obtained_at`.
-    pub(super) fn shared_result(&mut self, obtained_at: Timestamp) {
+    pub(super) fn record_shared_result(&mut self, obtained_at: Timestamp) {
         self.shared_result_at = self.shared_result_at.max(obtained_at);
     }
 
@@ -112,14 +112,14 @@
     }
 
     /// Records that a replica's position is checked now.
-    pub(super) fn position_checked(&mut self, now: Timestamp) {
+    pub(super) fn record_position_check(&mut self, now: Timestamp) {
         self.position_checked_at = now;
     }
 
     /// Starts a search for the primary unless one is in progress. Returns the interval between
     /// checks of a member, which grows with the duration of the search.
     fn primary_search_interval(&mut self, now: Timestamp, connect_timeout: TimeDelta) -> TimeDelta {
-        let since = *self.primary_sought_since.get_or_insert(now);
+        let since = *self.primary_search_started_at.get_or_insert(now);
         (connect_timeout / PRIMARY_SEARCHES_PER_TIMEOUT).max((now - since) / 2)
     }
 }
@@ -190,15 +190,15 @@
         SHARED_CHECK_LIFETIME * self.settings.limits.connect_timeout
     }
 
-    /// Returns at most `limit` members that are due for a periodic health check: suspected ones
-    /// first, and within both parts those checked longest ago first. Suspected members are due
-    /// after each connect timeout, the others less often.
+    /// Returns at most `limit` members that are due for a periodic health check: suspected members
+    /// first, and in either group those checked longest ago first. Suspected members are due after
+    /// each connect timeout, the others less often.
     pub(super) fn periodic_health_checks_due(&mut self, limit: usize) -> Vec<MemberId> {
         self.requeue_groups_without_shared_checks();
         let timeout = self.settings.limits.connect_timeout;
         let interval = timeout * OBSERVATION_LIFETIME as i64;
         let queue = &self.health_check_queue;
-        let mut due: Vec<MemberId> = (queue.doubtful())
+        let mut due: Vec<MemberId> = (queue.possibly_suspected())
             .filter(|&id| self.is_suspected(id) && self.periodic_check_is_due(id, timeout))
             .collect();
         due.sort_by_key(|&id| self.member(id).health_check.sent_at);
@@ -229,16 +229,16 @@
     }
 
     /// Records that a gateway that shares its results obtained one for this group at `obtained_at`.
-    pub(super) fn shared_result(&mut self, group_id: GroupId, obtained_at: Timestamp) {
+    pub(super) fn record_shared_result(&mut self, group_id: GroupId, obtained_at: Timestamp) {
         let group = (self.groups.get_mut(&group_id)).expect("the group of a known member is known");
         let earlier = group.health_checks.shared_result_at();
         if obtained_at <= earlier && self.health_check_queue.is_shared(group_id, earlier) {
             return;
         }
-        group.health_checks.shared_result(obtained_at);
+        group.health_checks.record_shared_result(obtained_at);
         let latest = group.health_checks.shared_result_at();
         let queue = &mut self.health_check_queue;
-        if queue.shared_result(group_id, earlier, latest) {
+        if queue.record_shared_result(group_id, earlier, latest) {
             for &id in &group.members {
                 queue.remove(id, self.members[&id].health_check.sent_at);
             }
@@ -250,14 +250,15 @@
         let now = self.now;
         let health_check = &mut self.member_mut(id).health_check;
         let earlier = health_check.sent_at;
-        health_check.sent(now);
+        health_check.record_sent(now);
         self.health_check_queue.check_sent(id, earlier, now);
     }
 
     /// Updates the queue after a change to the member's reachability.
     pub(super) fn reachability_changed(&mut self, id: MemberId) {
-        let doubtful = self.member(id).reachability.may_be_suspected(self.now);
-        self.health_check_queue.set_doubtful(id, doubtful);
+        let possibly_suspected = self.member(id).reachability.may_be_suspected(self.now);
+        self.health_check_queue
+            .set_possibly_suspected(id, possibly_suspected);
     }
 
     /// Returns the members of a group that are due for a check of whether they are the new primary.
--- a/src/routing/health_check_dispatch.rs
+++ b/src/routing/health_check_dispatch.rs
@@ -12,14 +12,14 @@
 impl Router {
     /// Adds a new request's payment to the health check budget, and sends the periodic health
     /// checks that are due.
-    pub(super) fn pay_for_health_checks(&mut self) {
+    pub(super) fn fund_health_checks(&mut self) {
         let price = self.fleet.settings.health_check_price;
         self.health_checks.deposit(price);
         self.send_periodic_health_checks();
     }
 
     /// Records what a queued request waits for, so that health checks are sent for it.
-    pub(super) fn note_unmet_needs(&mut self, id: RequestId) {
+    pub(super) fn record_unmet_needs(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         let now = self.fleet.now;
         let requires_primary = self.fleet.requires_primary(request.class);
@@ -56,9 +56,9 @@
             due = self.fleet.primary_search_due(group_id);
         } else if group_checks.position_check_due(now, timeout) {
             let candidates = self.fleet.position_check_candidates(group_id);
-            due.extend(self.pick(&candidates));
+            due.extend(self.choose_weighted(&candidates));
             let group = self.fleet.group_mut(group_id);
-            group.health_checks.position_checked(now);
+            group.health_checks.record_position_check(now);
         }
         due.extend(self.fleet.primary_load_check_due(group_id));
         for member in due {
--- a/src/routing/health_check_queue.rs
+++ b/src/routing/health_check_queue.rs
@@ -22,13 +22,13 @@
 /// Queue of the members that need periodic health checks.
 #[derive(Clone, Debug, Default)]
 pub(super) struct HealthCheckQueue {
-    /// Members of the groups that are not in `shared`.
+    /// Members of the groups that are not in `shared_groups`.
     members: BTreeSet<CheckedMember>,
     /// Members that may be suspected: a request is in flight there, or they could not be reached.
-    doubtful: BTreeSet<MemberId>,
+    possibly_suspected: BTreeSet<MemberId>,
     /// Groups that had recent shared results when this was last checked. Their members need no
     /// periodic checks.
-    shared: BTreeSet<SharedGroup>,
+    shared_groups: BTreeSet<SharedGroup>,
 }
 
 impl HealthCheckQueue {
@@ -45,7 +45,7 @@
     /// Drops everything about a member whose last check was sent at `sent_at`.
     pub(super) fn forget(&mut self, id: MemberId, sent_at: Timestamp) {
         self.remove(id, sent_at);
-        self.doubtful.remove(&id);
+        self.possibly_suspected.remove(&id);
     }
 
     /// Records that a check of the member is sent now, where the previous one was sent at
@@ -61,48 +61,49 @@
     }
 
     /// Sets whether a member may be suspected.
-    pub(super) fn set_doubtful(&mut self, id: MemberId, doubtful: bool) {
-        if doubtful {
-            self.doubtful.insert(id);
+    pub(super) fn set_possibly_suspected(&mut self, id: MemberId, possibly_suspected: bool) {
+        if possibly_suspected {
+            self.possibly_suspected.insert(id);
         } else {
-            self.doubtful.remove(&id);
+            self.possibly_suspected.remove(&id);
         }
     }
 
     /// Returns the members that may be suspected.
-    pub(super) fn doubtful(&self) -> impl Iterator<Item = MemberId> + '_ {
-        self.doubtful.iter().copied()
+    pub(super) fn possibly_suspected(&self) -> impl Iterator<Item = MemberId> + '_ {
+        self.possibly_suspected.iter().copied()
     }
 
     /// Records that a shared result of the group was obtained at `obtained_at`, where the previous
     /// one was obtained at `earlier`. Returns whether the group's members needed periodic checks
     /// until now and need none any more.
-    pub(super) fn shared_result(
+    pub(super) fn record_shared_result(
         &mut self,
         id: GroupId,
         earlier: Timestamp,
         obtained_at: Timestamp,
     ) -> bool {
-        let was_shared = self.shared.remove(&SharedGroup {
+        let was_shared = self.shared_groups.remove(&SharedGroup {
             obtained_at: earlier,
             id,
         });
-        self.shared.insert(SharedGroup { obtained_at, id });
+        self.shared_groups.insert(SharedGroup { obtained_at, id });
         !was_shared
     }
 
     /// Returns whether the members of a group need no periodic checks, given when its last shared
     /// result was obtained.
     pub(super) fn is_shared(&self, id: GroupId, obtained_at: Timestamp) -> bool {
-        self.shared.contains(&SharedGroup { obtained_at, id })
+        self.shared_groups
+            .contains(&SharedGroup { obtained_at, id })
     }
 
     /// Takes the next group whose last shared result was obtained at `recent` or earlier.
     pub(super) fn take_outdated_group(&mut self, recent: Timestamp) -> Option<GroupId> {
-        self.shared
+        self.shared_groups
             .first()
             .filter(|group| group.obtained_at <= recent)?;
-        self.shared.pop_first().map(|group| group.id)
+        self.shared_groups.pop_first().map(|group| group.id)
     }
 
     /// Returns the members whose last check was sent at least `interval` ago, least recent first.
--- a/src/routing/latency.rs
+++ b/src/routing/latency.rs
@@ -91,8 +91,8 @@
     }
 
     /// Adopts another router's measurements of the classes for which it has had more answers.
-    pub(super) fn merge(&mut self, theirs: ClassMeasurements) {
-        let measurements = theirs.usual.iter().zip(theirs.answers);
+    pub(super) fn merge(&mut self, other: ClassMeasurements) {
+        let measurements = other.usual.iter().zip(other.answers);
         for (class, (&usual, &answers)) in measurements.enumerate() {
             let known = class < self.usual.len();
             if known && answers > self.answers[class] && usual.is_finite() && usual > 0.0 {
@@ -111,10 +111,10 @@
 /// Returns values by new class: each is the value of the old class that it takes over, or else an
 /// initial one.
 fn carry_over(values: &[f64], from: &[Option<usize>], initial: impl Fn(usize) -> f64) -> Vec<f64> {
-    let kept = |source: &Option<usize>| source.and_then(|class| values.get(class).copied());
+    let carried = |source: &Option<usize>| source.and_then(|class| values.get(class).copied());
     from.iter()
         .enumerate()
-        .map(|(class, source)| kept(source).unwrap_or_else(|| initial(class)))
+        .map(|(class, source)| carried(source).unwrap_or_else(|| initial(class)))
         .collect()
 }
 
@@ -129,7 +129,7 @@
 
 impl MemberLatency {
     /// Creates the state of a member without any answers.
-    pub(super) fn usual() -> Self {
+    pub(super) fn initial() -> Self {
         MemberLatency {
             ratio: 1.0,
             answers: 0.0,
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -4,8 +4,8 @@
 use super::time::Timestamp;
 
 /// The gateway sheds a member's load while the share of cores in use there is above this one.
-const BUSY_CORES: f64 = 0.8;
-/// Change of the shed share with each report, per unit of cores in use above `BUSY_CORES`.
+const SHED_THRESHOLD: f64 = 0.8;
+/// Change of the shed share with each report, per unit of cores in use above `SHED_THRESHOLD`.
 const SHED_GAIN: f64 = 0.15;
 /// Maximum share of a member's requests that is shed.
 const MAX_SHED_SHARE: f64 = 0.9;
@@ -34,17 +34,17 @@
 impl MemberLoad {
     /// Applies a report of the number of requests in flight at the member, which includes those of
     /// this gateway.
-    pub(super) fn in_flight_reported(&mut self, in_flight: f64, now: Timestamp) {
+    pub(super) fn apply_in_flight_report(&mut self, in_flight: f64, now: Timestamp) {
         self.in_flight_of_others = (in_flight - f64::from(self.in_flight)).max(0.0);
         self.reported_at = now;
     }
 
     /// Applies a report of the share of cores in use at a member of this size, obtained at time
     /// `at`.
-    pub(super) fn cores_in_use_reported(&mut self, cores_in_use: f64, size: f64, at: Timestamp) {
+    pub(super) fn apply_cores_report(&mut self, cores_in_use: f64, size: f64, at: Timestamp) {
         self.cores_in_use = cores_in_use;
         self.reported_at = at;
-        let shed_share = self.shed_share + SHED_GAIN * (cores_in_use - BUSY_CORES);
+        let shed_share = self.shed_share + SHED_GAIN * (cores_in_use - SHED_THRESHOLD);
         self.shed_share = shed_share.clamp(0.0, MAX_SHED_SHARE);
         let idle = (SATURATION - cores_in_use).max(SATURATION - 1.0);
         self.in_flight_of_others = size * cores_in_use / idle;
@@ -73,7 +73,7 @@
     }
 
     /// Applies the load that a member of this size has reported.
-    pub(super) fn member_reported(&mut self, load: &MemberLoad, size: f64) {
+    pub(super) fn apply_member_report(&mut self, load: &MemberLoad, size: f64) {
         let sample = load.in_flight_of_others / size.max(MIN_SIZE);
         self.usual_in_flight += FLEET_SAMPLE_WEIGHT * (sample - self.usual_in_flight);
     }
--- a/src/routing/member.rs
+++ b/src/routing/member.rs
@@ -74,7 +74,7 @@
                 removed_at: Timestamp::MAX,
                 ..Service::default()
             },
-            latency: MemberLatency::usual(),
+            latency: MemberLatency::initial(),
             concurrency_limit: ConcurrencyLimit {
                 limit,
                 ..ConcurrencyLimit::default()
@@ -97,7 +97,7 @@
             // Errors, shed load and failures of the old process are no evidence about the new one.
             self.ejection = ErrorEjection::default();
             self.load.shed_share = 0.0;
-            self.reachability.recovered(now);
+            self.reachability.record_answer(now);
         }
         if endpoint.primary {
             self.replication.listed_as_primary();
@@ -111,7 +111,7 @@
 
     /// Returns whether the member's state may be dropped: it is removed, no request or health check
     /// is in flight there, and it was drained or was removed before `long_ago`.
-    pub(super) fn is_forgettable(&self, long_ago: Timestamp) -> bool {
+    pub(super) fn can_be_forgotten(&self, long_ago: Timestamp) -> bool {
         let idle = self.load.in_flight == 0 && !self.health_check.outstanding;
         let settled = self.service.draining || self.service.removed_at < long_ago;
         self.service.removed && idle && settled
--- a/src/routing/outlier.rs
+++ b/src/routing/outlier.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Reachability {
     /// When the member last answered a request, with success or not.
-    pub(super) last_heard_at: Timestamp,
+    pub(super) last_answered_at: Timestamp,
     /// Time since which a request has been in flight without any answer from the member.
     pub(super) silent_since: Option<Timestamp>,
     /// Duration of a silence after which the member is suspected.
@@ -57,7 +57,7 @@
             Outcome::Ok | Outcome::Error | Outcome::Full | Outcome::Unsuitable
         );
         if answered {
-            self.last_heard_at = now;
+            self.last_answered_at = now;
             self.silent_since = (in_flight > 0).then_some(now);
         } else if in_flight == 0 {
             self.silent_since = None;
@@ -66,14 +66,14 @@
 
     /// Records a failure to reach the member. It is suspected for a time that doubles with each
     /// further failure.
-    pub(super) fn failed(&mut self, now: Timestamp, connect_timeout: TimeDelta) {
+    pub(super) fn record_failure(&mut self, now: Timestamp, connect_timeout: TimeDelta) {
         self.consecutive_failures += 1;
         let doublings = self.consecutive_failures.min(MAX_SUSPICION_DOUBLINGS);
         self.suspected_until = now + connect_timeout * (1 << doublings);
     }
 
     /// Records that the member has answered, and clears its failures.
-    pub(super) fn recovered(&mut self, now: Timestamp) {
+    pub(super) fn record_answer(&mut self, now: Timestamp) {
         if self.consecutive_failures > 0 || self.recovered_at == Timestamp::ZERO {
             self.recovered_at = now;
         }
@@ -96,7 +96,7 @@
     /// Returns the weight, from 1 down to 0, that earlier observations of the member still have
     /// when they decay with the time constant `lifetime`.
     pub(super) fn observation_weight(&self, now: Timestamp, lifetime: TimeDelta) -> f64 {
-        let age = (now - self.last_heard_at).as_nanos_f64();
+        let age = (now - self.last_answered_at).as_nanos_f64();
         (-age / lifetime.as_nanos_f64()).exp()
     }
 }
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -15,7 +15,7 @@
 const HEDGE_COST: f64 = 1.0;
 /// A request may be hedged when this share of the time from its sending to its latency objective
 /// has passed without an answer.
-const HEDGE_DELAY: f64 = 0.5;
+const HEDGE_DELAY_SHARE: f64 = 0.5;
 /// A read that no member has received is queued for at most this share of the time that its client
 /// waits.
 const UNSENT_READ_QUEUE_SHARE: f64 = 0.45;
@@ -23,14 +23,14 @@
 impl Router {
     /// Handles a failed attempt. Unless another attempt is in flight, the request is queued again
     /// for a retry, or given up.
-    pub(super) fn after_failure(&mut self, id: RequestId, outcome: Outcome, elapsed: TimeDelta) {
+    pub(super) fn retry_or_give_up(&mut self, id: RequestId, outcome: Outcome, elapsed: TimeDelta) {
         let request = self.requests.get(id);
         if request.answered || request.is_in_flight() {
             return;
         }
         let idempotency = self.class(request).idempotency;
         let repeatable = idempotency != Idempotency::NotIdempotent || !request.may_have_run();
-        let in_time = self.fleet.now < self.latest_send(request);
+        let in_time = self.fleet.now < self.latest_send_time(request);
         let usual_latency = self.fleet.class_latency.usual(request.class);
         let cost = RetryBudget::retry_cost(outcome, elapsed, usual_latency);
         let allowed = repeatable && in_time && self.has_attempts_left(request);
@@ -57,19 +57,20 @@
         group.queues.resize(classes, VecDeque::new());
         group.queues[class].push_back(id);
         self.fleet.selection.group_changed(request.group);
-        self.review_before_giving_up(id);
+        self.schedule_give_up_review(id);
     }
 
     /// Returns the time until which a request may be queued. A read that no member has received is
     /// rejected early, because a client that is rejected late has waited for nothing and has too
-    /// little time left to retry. If the time for that has already passed, an earlier rejection
-    /// does not help, and the read is queued for as long as it can be answered in time. So is a
-    /// write: an election outlasts any shorter time, and all writes would fail.
+    /// little time left to retry. If that limit has already passed, a rejection before the deadline
+    /// does not help the client, so the read stays queued for as long as it can be answered in
+    /// time. A write always stays queued that long, because an election outlasts any shorter limit,
+    /// and all writes would fail.
     fn queued_until(&self, request: &Request) -> Timestamp {
         let is_read = self.class(request).freshness != Freshness::Write;
-        let patience = (request.deadline - request.arrived_at).as_nanos_f64();
+        let client_wait = (request.deadline - request.arrived_at).as_nanos_f64();
         let limit =
-            request.arrived_at + TimeDelta::from_nanos_f64(patience * UNSENT_READ_QUEUE_SHARE);
+            request.arrived_at + TimeDelta::from_nanos_f64(client_wait * UNSENT_READ_QUEUE_SHARE);
         if is_read && request.is_unsent() && self.fleet.now < limit {
             limit
         } else {
@@ -79,10 +80,10 @@
 
     /// Returns the time at which a request that is queued now is given up.
     fn give_up_at(&self, request: &Request) -> Timestamp {
-        self.latest_send(request).min(request.queued_until)
+        self.latest_send_time(request).min(request.queued_until)
     }
 
-    fn review_before_giving_up(&mut self, id: RequestId) {
+    fn schedule_give_up_review(&mut self, id: RequestId) {
         let time = self.give_up_at(self.requests.get(id));
         self.requests
             .review_at(time.max(self.fleet.now + TimeDelta::NANOSECOND), id);
@@ -100,7 +101,7 @@
             } else if self.fleet.now >= self.give_up_at(request) {
                 self.give_up(id);
             } else {
-                self.review_before_giving_up(id);
+                self.schedule_give_up_review(id);
             }
         }
     }
@@ -111,7 +112,8 @@
         let class = self.class(request);
         let now = self.fleet.now;
         let time_left = request.arrived_at + class.latency_objective - now;
-        let hedge_at = now + TimeDelta::from_nanos_f64(HEDGE_DELAY * time_left.as_nanos_f64());
+        let hedge_at =
+            now + TimeDelta::from_nanos_f64(HEDGE_DELAY_SHARE * time_left.as_nanos_f64());
         let permitted = self.fleet.settings.limits.hedged_requests;
         let may_be_hedged = permitted && class.idempotency == Idempotency::Idempotent;
         (may_be_hedged && hedge_at > now).then_some(hedge_at)
@@ -126,7 +128,7 @@
             return;
         };
         let now = self.fleet.now;
-        if !self.retry_budget.covers(HEDGE_COST) || now >= self.latest_send(request) {
+        if !self.retry_budget.covers(HEDGE_COST) || now >= self.latest_send_time(request) {
             return;
         }
         if !self.fleet.is_suspected(member) {
--- a/src/routing/retry_budget.rs
+++ b/src/routing/retry_budget.rs
@@ -5,9 +5,9 @@
 use super::time::TimeDelta;
 
 /// Tokens that each request adds to the budget. One token pays for one full attempt.
-const SHARE_OF_REQUESTS: f64 = 0.1;
+const TOKENS_PER_REQUEST: f64 = 0.1;
 /// Maximum number of tokens in the budget.
-const CAPACITY: f64 = 10.0;
+const MAX_TOKENS: f64 = 10.0;
 /// Minimum cost, in tokens, of a retry after an attempt that may have caused work.
 const MIN_RETRY_COST: f64 = 0.1;
 
@@ -20,12 +20,12 @@
 impl RetryBudget {
     /// Creates a full budget.
     pub(super) fn new() -> Self {
-        RetryBudget { tokens: CAPACITY }
+        RetryBudget { tokens: MAX_TOKENS }
     }
 
     /// Adds the tokens that a new request pays.
     pub(super) fn deposit(&mut self) {
-        self.tokens = (self.tokens + SHARE_OF_REQUESTS).min(CAPACITY);
+        self.tokens = (self.tokens + TOKENS_PER_REQUEST).min(MAX_TOKENS);
     }
 
     /// Returns the cost of a retry after a failed attempt: nothing if the member did no work, a
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -20,7 +20,7 @@
 
 /// Share of the latency objective for which a request waits for a health check, which may confirm
 /// that a replica is recent or that a member has capacity, before selection goes on without it.
-const HEALTH_CHECK_WAIT: f64 = 0.03;
+const HEALTH_CHECK_WAIT_SHARE: f64 = 0.03;
 
 /// The routing decisions of one gateway.
 pub struct Router {
@@ -38,14 +38,14 @@
 impl Router {
     /// Creates a router that knows its settings and nothing about the fleet.
     pub fn new(settings: Settings) -> Self {
-        let watch = settings.endpoint_list_on_request;
+        let subscribe_at_start = settings.endpoint_list_on_request;
         Router {
             rng: oorandom::Rand64::new(u128::from(settings.seed)),
             fleet: Fleet::new(settings),
             requests: RequestTable::default(),
             retry_budget: RetryBudget::new(),
             failover: FailoverDirectives::default(),
-            actions: watch
+            actions: subscribe_at_start
                 .then_some(Action::WatchEndpoints)
                 .into_iter()
                 .collect(),
@@ -132,7 +132,7 @@
             sample: self.rng.rand_float(),
             ..Request::default()
         };
-        self.pay_for_health_checks();
+        self.fund_health_checks();
         self.requests.by_id.insert(*id, request);
         self.retry_budget.deposit();
         if self.failover_plan_admits(*class) {
@@ -146,12 +146,12 @@
     /// without its result.
     fn health_check_wait(&self, class: usize) -> TimeDelta {
         let settings = &self.fleet.settings;
-        let proof_needed = !settings.positions_in_answers
+        let needs_confirmed_position = !settings.positions_in_answers
             && settings.staleness_check == StalenessCheck::None
             && settings.limits.health_checks;
-        if proof_needed || self.fleet.relies_on_load_reports() {
+        if needs_confirmed_position || self.fleet.relies_on_load_reports() {
             let objective = settings.classes[class].latency_objective.as_nanos_f64();
-            TimeDelta::from_nanos_f64(objective * HEALTH_CHECK_WAIT)
+            TimeDelta::from_nanos_f64(objective * HEALTH_CHECK_WAIT_SHARE)
         } else {
             TimeDelta::ZERO
         }
@@ -195,7 +195,7 @@
         if *finished {
             self.close(*id);
         } else {
-            self.after_failure(*id, *outcome, *elapsed);
+            self.retry_or_give_up(*id, *outcome, *elapsed);
         }
         self.requests.remove_if_finished(*id);
     }
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -65,11 +65,15 @@
         let mut classes: Vec<usize> = (0..queues.len())
             .filter(|&class| !queues[class].is_empty())
             .collect();
-        let density = |class: usize| {
+        let weight_per_latency = |class: usize| {
             let weight = self.fleet.settings.classes[class].priority_weight;
             weight / self.fleet.class_latency.usual(class)
         };
-        classes.sort_by(|&a, &b| density(b).total_cmp(&density(a)).then(a.cmp(&b)));
+        classes.sort_by(|&a, &b| {
+            weight_per_latency(b)
+                .total_cmp(&weight_per_latency(a))
+                .then(a.cmp(&b))
+        });
         classes
     }
 
@@ -82,7 +86,7 @@
         // If one request of a class cannot be sent, the others are not tried, because they wait for
         // the same thing. Exceptions are session reads, which need different positions, and long
         // reads, which may use more replicas the longer they have waited.
-        let independent = self.fleet.settings.classes[class].freshness == Freshness::Session
+        let waits_differ = self.fleet.settings.classes[class].freshness == Freshness::Session
             || self.fleet.is_long_read(class);
         let mut still_queued = VecDeque::new();
         // Newest first, because in an overload the oldest requests would be sent with too little
@@ -95,9 +99,9 @@
             if selected.is_some_and(|member| self.send(id, member)) {
                 continue;
             }
-            self.note_unmet_needs(id);
+            self.record_unmet_needs(id);
             still_queued.push_front(id);
-            if !independent {
+            if !waits_differ {
                 break;
             }
         }
@@ -115,11 +119,11 @@
             return self.select_primary(request, primary.filter(|&id| Some(id) != excluded));
         }
         let members = &self.fleet.groups.get(&request.group)?.members;
-        let is_open = |id: MemberId| {
-            Some(id) != primary && Some(id) != excluded && self.is_open_to(id, request)
+        let is_available = |id: MemberId| {
+            Some(id) != primary && Some(id) != excluded && self.is_available_for(id, request)
         };
         let replicas: Vec<MemberId> = (members.iter().copied())
-            .filter(|&id| is_open(id))
+            .filter(|&id| is_available(id))
             .collect();
         let candidates = Candidates {
             suitable: self.suitable_replicas(&replicas, request),
@@ -152,18 +156,18 @@
                 || self.fleet.now >= request.health_check_awaited_until
         };
         primary.filter(|&id| {
-            self.is_open_to(id, request)
+            self.is_available_for(id, request)
                 && !self.fleet.is_suspected(id)
                 && load_is_known(id)
-                && self.has_room(id, request, 1.0)
+                && self.has_capacity(id, request, 1.0)
         })
     }
 
     /// Returns the replicas that are preferred for a read: those that are recent enough and not
-    /// suspected. Ejected replicas are left out unless all of these are ejected.
+    /// suspected. Ejected replicas are left out unless no other replica remains.
     fn suitable_replicas(&self, replicas: &[MemberId], request: &Request) -> Vec<MemberId> {
         let mut suitable: Vec<MemberId> = (replicas.iter().copied())
-            .filter(|&id| self.is_proven_recent(id, request) && !self.fleet.is_suspected(id))
+            .filter(|&id| self.has_required_position(id, request) && !self.fleet.is_suspected(id))
             .collect();
         // Where gateways share health checks, only the few replicas that were checked last have a
         // confirmed position, and all gateways would choose the same ones.
@@ -212,11 +216,11 @@
             .latency_objective
             .max(TimeDelta::NANOSECOND);
         let waited = self.fleet.now - request.arrived_at;
-        let further_replicas = waited * LONG_READ_SPREAD_DIVISOR / objective;
-        (0..=further_replicas)
+        let additional_replicas = waited * LONG_READ_SPREAD_DIVISOR / objective;
+        (0..=additional_replicas)
             .zip(by_lag)
             .map(|(_, id)| id)
-            .find(|&id| self.has_room(id, request, 1.0))
+            .find(|&id| self.has_capacity(id, request, 1.0))
     }
 
     /// Returns whether the request should go on waiting for a suitable replica to report its load,
@@ -232,19 +236,19 @@
     /// replica that is only probably recent enough is the second choice.
     fn select_replica(&self, candidates: &Candidates) -> Option<MemberId> {
         let request = candidates.request;
-        let pick_with_room = |replicas: &[MemberId]| {
-            let with_room: Vec<MemberId> = (replicas.iter().copied())
-                .filter(|&id| self.has_room(id, request, 1.0))
+        let choose_with_capacity = |replicas: &[MemberId]| {
+            let with_capacity: Vec<MemberId> = (replicas.iter().copied())
+                .filter(|&id| self.has_capacity(id, request, 1.0))
                 .collect();
-            self.pick(&with_room)
+            self.choose_weighted(&with_capacity)
         };
-        pick_with_room(&candidates.suitable).or_else(|| {
+        choose_with_capacity(&candidates.suitable).or_else(|| {
             if self.fleet.settings.staleness_check == StalenessCheck::None {
                 return None;
             }
             let mut likely = self.probably_recent(&candidates.replicas, request);
             likely.retain(|&id| !self.fleet.is_ejected(id));
-            pick_with_room(&likely)
+            choose_with_capacity(&likely)
         })
     }
 
@@ -254,9 +258,9 @@
     fn fall_back(&self, candidates: &Candidates) -> Option<MemberId> {
         let request = candidates.request;
         let primary = self.fall_back_to_primary(candidates);
-        let is_trusted =
+        let is_healthy =
             |id: &MemberId| !self.fleet.is_suspected(*id) && !self.fleet.is_ejected(*id);
-        if let Some(primary) = primary.filter(is_trusted) {
+        if let Some(primary) = primary.filter(is_healthy) {
             return Some(primary);
         }
         let mut replicas = candidates.replicas.iter();
@@ -264,9 +268,11 @@
             return None;
         }
         let suspected: Vec<MemberId> = (candidates.replicas.iter().copied())
-            .filter(|&id| self.is_proven_recent(id, request) && self.has_room(id, request, 1.0))
+            .filter(|&id| {
+                self.has_required_position(id, request) && self.has_capacity(id, request, 1.0)
+            })
             .collect();
-        self.pick(&suspected).or(primary)
+        self.choose_weighted(&suspected).or(primary)
     }
 
     /// Returns the primary if it has capacity for a read that no replica takes.
@@ -282,15 +288,15 @@
         candidates.primary.filter(|&id| {
             (!relies_on_reports || self.fleet.has_recent_load_report(id))
                 && Some(id) != candidates.excluded
-                && self.is_open_to(id, request)
-                && self.has_room(id, request, share)
+                && self.is_available_for(id, request)
+                && self.has_capacity(id, request, share)
         })
     }
 
     /// Chooses one of these members at random, within the latency window of the best one and
     /// preferably in the gateway's own zone. The weights favour members with a large size and
     /// little load.
-    pub(super) fn pick(&self, members: &[MemberId]) -> Option<MemberId> {
+    pub(super) fn choose_weighted(&self, members: &[MemberId]) -> Option<MemberId> {
         let fleet = &self.fleet;
         let best = (members.iter())
             .map(|&id| fleet.latency_ratio(id))
@@ -301,22 +307,25 @@
         let own_zone: Vec<MemberId> = (window.iter().copied())
             .filter(|&id| fleet.member(id).identity.zone == fleet.settings.zone)
             .collect();
-        let zone_has_room =
+        let zone_load_is_acceptable =
             least_load(fleet, &own_zone) <= least_load(fleet, &window) * ZONE_LOAD_SLACK;
-        let preferred = if !own_zone.is_empty() && zone_has_room {
+        let preferred = if !own_zone.is_empty() && zone_load_is_acceptable {
             own_zone
         } else {
             window
         };
-        let total: f64 = preferred.iter().map(|&id| pick_weight(fleet, id)).sum();
+        let total: f64 = preferred
+            .iter()
+            .map(|&id| selection_weight(fleet, id))
+            .sum();
         // The generator advances when a request is sent, not here, so that repeating the selection
         // before the next send gives the same member.
         let mut remaining = self.rng.clone().rand_float() * total;
-        let picked = preferred.iter().copied().find(|&id| {
-            remaining -= pick_weight(fleet, id);
+        let chosen = preferred.iter().copied().find(|&id| {
+            remaining -= selection_weight(fleet, id);
             remaining <= 0.0
         });
-        picked.or(preferred.last().copied())
+        chosen.or(preferred.last().copied())
     }
 }
 
@@ -324,16 +333,16 @@
 /// them has reached in slow start.
 fn least_load(fleet: &Fleet, members: &[MemberId]) -> f64 {
     (members.iter())
-        .map(|&id| fleet.relative_load(id) / fleet.warmth(id))
+        .map(|&id| fleet.relative_load(id) / fleet.warm_up_share(id))
         .fold(f64::INFINITY, f64::min)
 }
 
 /// Returns the weight of a member in the random choice.
-fn pick_weight(fleet: &Fleet, id: MemberId) -> f64 {
+fn selection_weight(fleet: &Fleet, id: MemberId) -> f64 {
     // A report of no requests in flight may be wrong. In a large fleet, a load above the usual one
     // therefore lowers the weight, but a load below it does not raise the weight.
     let load = fleet.relative_load(id).max(f64::from(fleet.is_large()));
     let latency = fleet.latency_ratio(id).max(MIN_LATENCY_RATIO);
-    let capacity = fleet.member(id).identity.size * fleet.warmth(id);
+    let capacity = fleet.member(id).identity.size * fleet.warm_up_share(id);
     capacity / (load * latency).powf(LOAD_EXPONENT)
 }
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -128,10 +128,10 @@
     pub warm_up_time: TimeDelta,
     /// Minimum share of its capacity that a member has when its process starts, 0 to 1.
     pub initial_capacity: f64,
-    /// A member in slow start fails if it is sent more than this multiple of its current capacity
-    /// ...
+    /// Multiple of its current capacity that overloads a member in slow start. The member fails if
+    /// it is sent more than this for the `overload_window`.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// Time for which a member in slow start withstands such an overload.
     pub overload_window: TimeDelta,
 }
 
--- a/src/routing/slow_start.rs
+++ b/src/routing/slow_start.rs
@@ -6,7 +6,11 @@
 /// Returns the minimum share of its capacity, 0 to 1, that a member has reached by now if its
 /// process started at `started`. A member without a start time has been running for long and has
 /// its full capacity.
-pub(super) fn warmth(started: Option<Timestamp>, now: Timestamp, rules: &SafetyRules) -> f64 {
+pub(super) fn warm_up_share(
+    started: Option<Timestamp>,
+    now: Timestamp,
+    rules: &SafetyRules,
+) -> f64 {
     let age = started.map_or(rules.warm_up_time, |started| {
         (now - started).max(TimeDelta::ZERO)
     });
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -75,9 +75,9 @@
                 id.map(|id| SnapshotMember { id, member })
             })
             .collect();
-        let size = classes.iter().flatten().max().map_or(0, |last| last + 1);
-        let mut class_latency = vec![0.0; size];
-        let mut class_answers = vec![0.0; size];
+        let class_count = classes.iter().flatten().max().map_or(0, |last| last + 1);
+        let mut class_latency = vec![0.0; class_count];
+        let mut class_answers = vec![0.0; class_count];
         let measurements = self.class_latency.iter().zip(&self.class_answers);
         for (class, (&latency, &answers)) in classes.iter().zip(measurements) {
             if let Some(class) = *class {
@@ -93,15 +93,19 @@
     /// for classes.
     pub(super) fn merge_into(&self, fleet: &mut Fleet) {
         let now = fleet.now;
-        for SnapshotMember { id, member: theirs } in &self.members {
-            let Some(own) = fleet.members.get_mut(id) else {
+        for SnapshotMember {
+            id,
+            member: received,
+        } in &self.members
+        {
+            let Some(known) = fleet.members.get_mut(id) else {
                 continue;
             };
-            let same_process = own.identity.started == theirs.identity.started;
+            let same_process = known.identity.started == received.identity.started;
             // Observations with a time in the future, from a clock that differs, would count as the
             // newest for ever.
-            if same_process && !theirs.is_from_the_future(now) {
-                own.merge(theirs);
+            if same_process && !received.has_future_observation(now) {
+                known.merge(received);
                 fleet.reachability_changed(*id);
             }
         }
@@ -114,13 +118,13 @@
 
 impl Member {
     /// Returns whether any observation of the member is later than `now`.
-    fn is_from_the_future(&self, now: Timestamp) -> bool {
+    fn has_future_observation(&self, now: Timestamp) -> bool {
         let observed_at = [
             self.replication.position,
             self.replication.lag_measured_at,
             self.replication.last_primary_at,
             self.replication.last_replica_at,
-            self.reachability.last_heard_at,
+            self.reachability.last_answered_at,
         ];
         observed_at.iter().any(|&time| time > now)
     }
@@ -175,7 +179,7 @@
     replica_at: Timestamp = replication.last_replica_at,
     slowness: f64 = latency.ratio,
     answers: f64 = latency.answers,
-    heard: Timestamp = reachability.last_heard_at,
+    heard: Timestamp = reachability.last_answered_at,
     outstanding: u32 = load.in_flight,
     others: f64 = load.in_flight_of_others,
     told_at: Timestamp = load.reported_at,
--- a/src/routing/timer.rs
+++ b/src/routing/timer.rs
@@ -1,4 +1,4 @@
-//! The router's timer, with which it asks its caller for another batch.
+//! The router's timer, by which it asks its caller for another batch at a later time.
 
 use super::action::Action;
 use super::router::Router;
