--- a/benches/batch.rs
+++ b/benches/batch.rs
@@ -13,12 +13,12 @@
 use std::hint::black_box;
 
 const MS: TimeDelta = TimeDelta::from_millis(1);
-const MEMBERS_OF_A_SET: u32 = 5;
+const MEMBERS_PER_GROUP: u32 = 5;
 /// First id of the queued requests, and first id and number of the groups without members that they
 /// are for.
-const HELD_REQUESTS_FROM: u64 = 1 << 32;
-const EMPTY_GROUPS_FROM: i64 = 1 << 32;
-const EMPTY_GROUPS: u64 = 267;
+const FIRST_QUEUED_REQUEST: u64 = 1 << 32;
+const FIRST_EMPTY_GROUP: i64 = 1 << 32;
+const EMPTY_GROUP_COUNT: u64 = 267;
 
 fn settings(gateways: u32) -> Settings {
     let json = serde_json::json!({
@@ -41,18 +41,18 @@
 }
 
 /// A router that has already served requests, with the clock and the number of its next request.
-struct Served {
+struct RunningRouter {
     router: Router,
     now: Timestamp,
-    next: u64,
-    sets: u32,
+    next_request: u64,
+    groups: u32,
 }
 
-impl Served {
+impl RunningRouter {
     fn new(members: u32, gateways: u32) -> Self {
         let entry = |m: u32| Endpoint {
             member: MemberId(m),
-            group: GroupId(i64::from(m / MEMBERS_OF_A_SET)),
+            group: GroupId(i64::from(m / MEMBERS_PER_GROUP)),
             zone: ZoneId(0),
             state: EndpointState::Ready,
             primary: false,
@@ -69,24 +69,24 @@
                 endpoints: entries,
             }],
         );
-        let mut served = Served {
+        let mut running = RunningRouter {
             router,
             now,
-            next: 0,
-            sets: members.div_ceil(MEMBERS_OF_A_SET),
+            next_request: 0,
+            groups: members.div_ceil(MEMBERS_PER_GROUP),
         };
-        (0..2000).for_each(|_| served.request());
-        served
+        (0..2000).for_each(|_| running.request());
+        running
     }
 
     /// Submits a request and answers it. The health checks that the router sends are answered too.
     fn request(&mut self) {
-        let id = RequestId(self.next);
-        let group = GroupId((self.next % u64::from(self.sets)) as i64);
-        self.next += 1;
+        let id = RequestId(self.next_request);
+        let group = GroupId((self.next_request % u64::from(self.groups)) as i64);
+        self.next_request += 1;
         self.now += MS;
         let deadline = self.now + 12_000 * MS;
-        let came = Event::Request {
+        let arrival = Event::Request {
             id,
             class: 0,
             tenant: None,
@@ -97,7 +97,7 @@
             last_write_age: None,
             retry: false,
         };
-        let mut events = vec![came];
+        let mut events = vec![arrival];
         while !events.is_empty() {
             let actions = self.router.batch(self.now, &events);
             self.now += MS;
@@ -145,10 +145,10 @@
         let mut group = c.benchmark_group(format!("request_{gateways}_gateways"));
         for members in [10, 100, 1_000, 3_200, 10_200] {
             group.bench_function(BenchmarkId::from_parameter(members), |b| {
-                let mut served = Served::new(members, gateways);
+                let mut running = RunningRouter::new(members, gateways);
                 b.iter_batched(
                     || (),
-                    |()| black_box(&mut served).request(),
+                    |()| black_box(&mut running).request(),
                     BatchSize::SmallInput,
                 );
             });
@@ -158,29 +158,29 @@
 }
 
 /// A request for a group without members, so that it stays queued.
-fn held_request(number: u64, now: Timestamp) -> Event {
+fn queued_request(number: u64, now: Timestamp) -> Event {
     Event::Request {
-        id: RequestId(HELD_REQUESTS_FROM + number),
+        id: RequestId(FIRST_QUEUED_REQUEST + number),
         class: 0,
         tenant: None,
         session: None,
         deadline: now + 1_000_000 * MS,
         work: None,
-        group: GroupId(EMPTY_GROUPS_FROM + (number % EMPTY_GROUPS) as i64),
+        group: GroupId(FIRST_EMPTY_GROUP + (number % EMPTY_GROUP_COUNT) as i64),
         last_write_age: None,
         retry: false,
     }
 }
 
 /// Measures an event of one group while requests for other groups are queued.
-fn event_with_requests_held(c: &mut Criterion) {
+fn event_with_requests_queued(c: &mut Criterion) {
     let mut group = c.benchmark_group("event_with_requests_held");
-    for held in [0, 100, 1_000, 5_000] {
-        group.bench_function(BenchmarkId::from_parameter(held), |b| {
-            let mut served = Served::new(1_000, 48);
-            let now = served.now;
-            let requests: Vec<Event> = (0..held).map(|n| held_request(n, now)).collect();
-            served.router.batch(now, &requests);
+    for queued in [0, 100, 1_000, 5_000] {
+        group.bench_function(BenchmarkId::from_parameter(queued), |b| {
+            let mut running = RunningRouter::new(1_000, 48);
+            let now = running.now;
+            let requests: Vec<Event> = (0..queued).map(|n| queued_request(n, now)).collect();
+            running.router.batch(now, &requests);
             let checked = Event::HealthChecked {
                 member: MemberId(0),
                 outcome: Outcome::Ok,
@@ -188,11 +188,11 @@
                 report: None,
             };
             b.iter(|| {
-                served.now += TimeDelta::NANOSECOND;
+                running.now += TimeDelta::NANOSECOND;
                 black_box(
-                    served
+                    running
                         .router
-                        .batch(served.now, std::slice::from_ref(&checked)),
+                        .batch(running.now, std::slice::from_ref(&checked)),
                 )
             });
         });
@@ -200,5 +200,5 @@
     group.finish();
 }
 
-criterion_group!(benches, request, event_with_requests_held);
+criterion_group!(benches, request, event_with_requests_queued);
 criterion_main!(benches);
--- a/tests/event_sequence/mod.rs
+++ b/tests/event_sequence/mod.rs
@@ -266,8 +266,8 @@
         self.rng.rand_float() < share
     }
 
-    fn time_up_to(&mut self, most: TimeDelta) -> TimeDelta {
-        TimeDelta::from_nanos_f64(self.rng.rand_float() * most.as_nanos_f64())
+    fn time_up_to(&mut self, max: TimeDelta) -> TimeDelta {
+        TimeDelta::from_nanos_f64(self.rng.rand_float() * max.as_nanos_f64())
     }
 
     fn any_member(&mut self) -> u32 {
@@ -531,17 +531,17 @@
         }
         let classes = self.scenario.settings.classes.len();
         let usual: Vec<f64> = (0..classes).map(|_| self.rng.rand_float() * 2e8).collect();
-        let told: Vec<f64> = (0..classes)
+        let class_answers: Vec<f64> = (0..classes)
             .map(|_| self.rng.rand_float() * 200.0)
             .collect();
-        let document = json!({ "members": members, "usual": usual, "told": told });
-        let snapshot = serde_json::from_value(document).expect("a snapshot as versions send it");
+        let document = json!({ "members": members, "usual": usual, "told": class_answers });
+        let snapshot = serde_json::from_value(document).expect("the document is a valid snapshot");
         Event::SnapshotReceived(Box::new(snapshot))
     }
 
     fn member_record(&mut self, member: u32) -> serde_json::Value {
         let lag = self.time_up_to(SECOND);
-        let heard = self.now + SECOND / 10 - self.time_up_to(SECOND);
+        let last_answered_at = self.now + SECOND / 10 - self.time_up_to(SECOND);
         json!({
             "group": member / MEMBERS_PER_GROUP,
             "zone": member % ZONES,
@@ -554,7 +554,7 @@
             "replica_at": if self.is_primary(member) { Timestamp::ZERO } else { self.now - lag },
             "slowness": self.rng.rand_float() * 3.0,
             "answers": self.rng.rand_float() * 20.0,
-            "heard": heard,
+            "heard": last_answered_at,
             "outstanding": self.below(5),
             "others": self.rng.rand_float() * 5.0,
             "told_at": self.now - self.time_up_to(SECOND),
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -50,22 +50,22 @@
 #[test]
 fn health_checks_grow_with_requests_and_not_with_gateways() {
     for gateway_count in [1, 10, 300] {
-        let mut sum = 0;
+        let mut health_check_count = 0;
         for seed in 0..gateway_count {
             let mut harness = harness(StalenessCheck::None, gateway_count, u64::from(seed));
             for _ in 0..600 / gateway_count {
                 let (id, actions) = harness.submit(BOUNDED_READ, None);
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
                 let actions = match sent_to(id, &actions) {
                     Some(member) => harness.answer_as_replica(id, member),
                     None => harness.run_for(50 * MILLISECOND),
                 };
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
             }
         }
         assert!(
-            sum <= 3 * 600,
-            "{gateway_count} gateways: {sum} health checks for 600 requests"
+            health_check_count <= 3 * 600,
+            "{gateway_count} gateways: {health_check_count} health checks for 600 requests"
         );
     }
 }
@@ -73,18 +73,18 @@
 /// Guards against health checks that cost more than the requests that they are sent for are worth.
 #[test]
 fn expensive_health_checks_are_fewer_than_the_requests_that_pay_for_them() {
-    for (price, least, most) in [(0.04, 300, 2_000), (0.4, 30, 200)] {
+    for (price, min_health_checks, max_health_checks) in [(0.04, 300, 2_000), (0.4, 30, 200)] {
         let mut settings = settings(StalenessCheck::None);
         settings.gateway_count = 1;
         settings.seed = 4;
         settings.health_check_price = price;
         let mut harness = RouterHarness::new(settings);
-        let mut sum = 0;
+        let mut health_check_count = 0;
         for _ in 0..600 {
             // Each read needs a replica that has just reported a recent position.
             let (id, mut actions) = harness.submit(BOUNDED_READ, None);
             for _ in 0..8 {
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
                 let checked = first_health_check(&actions);
                 if let Some(member) = sent_to(id, &actions) {
                     harness.answer_as_replica(id, member);
@@ -96,8 +96,8 @@
             }
         }
         assert!(
-            (least..most).contains(&sum),
-            "{sum} health checks at {price}"
+            (min_health_checks..max_health_checks).contains(&health_check_count),
+            "{health_check_count} health checks at {price}"
         );
     }
 }
@@ -122,12 +122,12 @@
     assert_eq!(
         sent_to(id, &actions),
         Some(2),
-        "and is sent once one has room"
+        "sent once a replica has capacity"
     );
 }
 
 #[test]
-fn read_goes_to_the_primary_only_when_that_has_reported_room() {
+fn read_goes_to_the_primary_only_after_it_reports_capacity() {
     let mut harness = harness(StalenessCheck::None, 300, 4);
     harness.now += 5 * SECOND;
     let (id, mut actions) = harness.submit(BOUNDED_READ, None);
@@ -135,7 +135,7 @@
     assert_eq!(
         sent_to(id, &actions),
         None,
-        "no replica is proven recent, the primary's load is unknown"
+        "no replica has a confirmed recent position, and the primary's load is unknown"
     );
     assert!(actions.contains(&Action::HealthCheck {
         member: MemberId(0)
@@ -166,29 +166,29 @@
     }
     assert!(
         sent_to_new < 67,
-        "{sent_to_new} of 100 gateways sent a member they never heard of their next request"
+        "{sent_to_new} of 100 gateways sent their next request to a member that they have no answers from"
     );
 }
 
 #[test]
-fn cold_member_alone_in_its_zone_is_not_the_choice_of_the_whole_zone() {
-    let mut sent_to_cold = 0;
+fn member_in_slow_start_alone_in_its_zone_does_not_get_all_requests_of_the_zone() {
+    let mut sent_to_slow_start = 0;
     for seed in 0..200 {
         let mut harness = harness(StalenessCheck::Reject, 200, seed);
         // Member 2 is the only replica in the gateway's zone, which is zone 0.
-        let cold = Endpoint {
+        let in_slow_start = Endpoint {
             started: Some(harness.now),
             ..endpoint(2, EndpointState::Ready)
         };
-        harness.list_changes(vec![cold]);
+        harness.list_changes(vec![in_slow_start]);
         report_in_flight(&mut harness, 1, 1.0);
         report_in_flight(&mut harness, 2, 1.0);
         let (id, actions) = harness.submit(SESSION_READ, None);
-        sent_to_cold += u32::from(sent_to(id, &actions) == Some(2));
+        sent_to_slow_start += u32::from(sent_to(id, &actions) == Some(2));
     }
     assert!(
-        sent_to_cold > 0 && sent_to_cold < 80,
-        "{sent_to_cold} of 200"
+        sent_to_slow_start > 0 && sent_to_slow_start < 80,
+        "{sent_to_slow_start} of 200 gateways"
     );
 }
 
@@ -197,17 +197,21 @@
     let mut harness = harness(StalenessCheck::Reject, 300, 5);
     harness.now += 5 * SECOND;
     let (id, actions) = harness.submit(WRITE, None);
-    assert_eq!(sent_to(id, &actions), None, "it asks first");
+    assert_eq!(
+        sent_to(id, &actions),
+        None,
+        "queued until the primary reports its load"
+    );
     let actions = report_in_flight(&mut harness, 0, 500.0);
     assert_eq!(sent_to(id, &actions), None);
     let actions = harness.run_for(200 * MILLISECOND);
-    assert_eq!(sent_to(id, &actions), None, "the report counts for a while");
+    assert_eq!(sent_to(id, &actions), None, "the report still counts");
     let actions = report_in_flight(&mut harness, 0, 0.0);
     assert_eq!(sent_to(id, &actions), Some(0));
 }
 
 #[test]
-fn report_of_nothing_in_flight_does_not_draw_the_reads_of_all_gateways() {
+fn report_of_nothing_in_flight_does_not_attract_the_reads_of_all_gateways() {
     let mut sent_to_idle = 0;
     for seed in 0..200 {
         let mut harness = harness_in_empty_zone(300, seed);
--- a/tests/periodic_health_checks.rs
+++ b/tests/periodic_health_checks.rs
@@ -20,7 +20,7 @@
 /// latencies.
 const SILENCE_TOLERANCE: TimeDelta = TimeDelta::from_secs(8);
 /// Time after which a removed member is dropped: twice the warm-up time of the settings.
-const FORGOTTEN_AFTER: TimeDelta = TimeDelta::from_millis(2);
+const FORGET_AFTER: TimeDelta = TimeDelta::from_millis(2);
 const BUDGET_CAPACITY: f64 = 12.0;
 const BUDGET_PER_REQUEST: f64 = 0.1;
 
@@ -114,7 +114,7 @@
     budget: f64,
     requests: u64,
     attempts: Vec<StartedAttempt>,
-    attempts_of: BTreeMap<RequestId, u32>,
+    attempt_counts: BTreeMap<RequestId, u32>,
 }
 
 fn endpoint(member: u32, state: EndpointState) -> Endpoint {
@@ -131,7 +131,7 @@
 
 impl Model {
     /// Applies a step to the model and returns its event, or `None` if the router gets none.
-    fn take(&mut self, step: &Step) -> Option<Event> {
+    fn apply(&mut self, step: &Step) -> Option<Event> {
         match *step {
             Step::TimePasses { milliseconds } => {
                 self.now += TimeDelta::from_millis(milliseconds);
@@ -164,7 +164,7 @@
         known.removed_at = removed.then(|| known.removed_at.unwrap_or(now));
         self.members.retain(|_, member| {
             let idle = member.in_flight == 0 && !member.check_outstanding;
-            let settled = |at| member.draining || at < now - FORGOTTEN_AFTER;
+            let settled = |at| member.draining || at < now - FORGET_AFTER;
             !(idle && member.removed_at.is_some_and(settled))
         });
         Event::EndpointList {
@@ -253,7 +253,7 @@
     }
 
     /// Applies the router's actions to the model.
-    fn carry_out(&mut self, actions: &[Action]) {
+    fn apply_actions(&mut self, actions: &[Action]) {
         for action in actions {
             match *action {
                 Action::HealthCheck { member } => {
@@ -270,7 +270,7 @@
                         .expect("a known member is chosen");
                     known.in_flight += 1;
                     known.silent_since.get_or_insert(self.now);
-                    let number = self.attempts_of.entry(id).or_default();
+                    let number = self.attempt_counts.entry(id).or_default();
                     self.attempts.push(StartedAttempt {
                         id,
                         number: *number,
@@ -295,7 +295,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::default() })]
     #[test]
-    fn requests_pay_for_the_checks_that_a_walk_over_all_members_finds(
+    fn requests_pay_for_the_checks_that_a_scan_of_all_members_finds(
         steps in prop::collection::vec(step(), 1..120),
     ) {
         let settings = serde_json::from_str(include_str!("gateway/settings.json")).expect("JSON");
@@ -308,19 +308,19 @@
             budget: BUDGET_CAPACITY,
             requests: 0,
             attempts: Vec::new(),
-            attempts_of: BTreeMap::new(),
+            attempt_counts: BTreeMap::new(),
         };
         let all_ready = (0..MEMBERS).map(|member| Step::Listed { member, state: EndpointState::Ready });
         for step in all_ready.chain(steps) {
-            let Some(event) = model.take(&step) else { continue };
-            let pays = matches!(event, Event::Request { .. });
-            let expected = if pays { model.checks_due() } else { Vec::new() };
+            let Some(event) = model.apply(&step) else { continue };
+            let is_request = matches!(event, Event::Request { .. });
+            let expected = if is_request { model.checks_due() } else { Vec::new() };
             model.budget -= expected.len() as f64;
             let actions = router.batch(model.now, &[event]);
             // Checks that a queued request needs follow those that were due anyway.
             let sent = health_checks(&actions);
             prop_assert!(sent.starts_with(&expected), "{sent:?} instead of {expected:?}");
-            model.carry_out(&actions);
+            model.apply_actions(&actions);
         }
     }
 }
--- a/tests/queued_requests.rs
+++ b/tests/queued_requests.rs
@@ -61,7 +61,7 @@
 
 /// Returns how long a second read waits for the pause after the first, while the given group has an
 /// event each millisecond.
-fn wait_behind_a_pause(group_with_events: u32) -> TimeDelta {
+fn wait_for_pause(group_with_events: u32) -> TimeDelta {
     let start = Timestamp::ZERO + TimeDelta::from_secs(1_000);
     let mut router = router(start);
     let [first, second] = [1, 2].map(RequestId);
@@ -90,7 +90,10 @@
     let mut now = start;
     loop {
         now += MILLISECOND;
-        assert!(now - start < TimeDelta::from_secs(9), "it is given up");
+        assert!(
+            now - start < TimeDelta::from_secs(9),
+            "the second read was given up"
+        );
         if is_sent(second, &router.batch(now, std::slice::from_ref(&event))) {
             return now - start;
         }
@@ -101,7 +104,10 @@
 /// ends without one.
 #[test]
 fn queued_request_is_sent_as_soon_by_events_of_another_group_as_by_those_of_its_own() {
-    let wait = wait_behind_a_pause(GROUP_OF_REQUESTS);
-    assert!(wait > TimeDelta::from_secs(1), "there is a pause");
-    assert_eq!(wait_behind_a_pause(OTHER_GROUP), wait);
+    let wait = wait_for_pause(GROUP_OF_REQUESTS);
+    assert!(
+        wait > TimeDelta::from_secs(1),
+        "the gateway pauses after the first read"
+    );
+    assert_eq!(wait_for_pause(OTHER_GROUP), wait);
 }
--- a/tests/rules_under_random_events.rs
+++ b/tests/rules_under_random_events.rs
@@ -17,7 +17,7 @@
 /// Time between two batches.
 const STEP_TIME: TimeDelta = TimeDelta::from_millis(10);
 /// Number of steps after the random ones in which every request must get its answer.
-const STEPS_AT_END: usize = 300;
+const FINAL_STEPS: usize = 300;
 
 /// One step of a sequence. Times are in milliseconds.
 #[derive(Clone, Debug)]
@@ -121,7 +121,7 @@
     states: BTreeMap<u32, EndpointState>,
     positions: BTreeMap<u32, Timestamp>,
     /// Whether a member has reported to be primary, and has not denied it in an answer since.
-    was_primary: BTreeMap<u32, bool>,
+    reported_primary: BTreeMap<u32, bool>,
 }
 
 impl Observer {
@@ -132,7 +132,7 @@
             in_flight: Vec::new(),
             states: BTreeMap::new(),
             positions: BTreeMap::new(),
-            was_primary: BTreeMap::new(),
+            reported_primary: BTreeMap::new(),
         }
     }
 
@@ -226,14 +226,14 @@
             Freshness::Strong => request.arrived_at,
             Freshness::Any | Freshness::Write => Timestamp::MIN,
         };
-        let was_primary = self.was_primary.get(&member).copied().unwrap_or(false);
+        let reported_primary = self.reported_primary.get(&member).copied().unwrap_or(false);
         let position = self
             .positions
             .get(&member)
             .copied()
             .unwrap_or(Timestamp::ZERO);
         prop_assert!(
-            was_primary || position >= required,
+            reported_primary || position >= required,
             "rule 5: no proof for member {member}"
         );
         Ok(())
@@ -393,7 +393,7 @@
         } = event
         {
             let is_primary = status.role == Role::Primary;
-            self.observer.was_primary.insert(member.0, is_primary);
+            self.observer.reported_primary.insert(member.0, is_primary);
         }
         self.deliver(&[event])
     }
@@ -409,7 +409,7 @@
             cores_in_use: None,
         };
         if primary {
-            self.observer.was_primary.insert(member, true);
+            self.observer.reported_primary.insert(member, true);
         }
         self.deliver(&[Event::HealthChecked {
             member: MemberId(member),
@@ -448,7 +448,7 @@
     for step in steps {
         run.take_step(step)?;
     }
-    for _ in 0..STEPS_AT_END {
+    for _ in 0..FINAL_STEPS {
         run.take_step(&Step::TimePasses(10))?;
     }
     for (id, request) in &run.observer.requests {
--- a/tests/safety_rules.rs
+++ b/tests/safety_rules.rs
@@ -63,10 +63,10 @@
         ..FailoverDirectives::default()
     };
     harness.deliver(&[Event::FailoverDirectivesChanged(directives)]);
-    let mut pauses = Vec::new();
+    let mut retry_delays = Vec::new();
     for _ in 0..400 {
         let (id, actions) = harness.submit(ANY_READ, None);
-        pauses.extend(retry_after(id, &actions));
+        retry_delays.extend(retry_after(id, &actions));
         if let Some(member) = sent_to(id, &actions) {
             harness.answer(id, member);
         }
@@ -74,13 +74,19 @@
         assert_eq!(sent_to(id, &actions), Some(0));
         harness.answer(id, 0);
     }
-    let rejected = pauses.len();
+    let rejected = retry_delays.len();
     assert!((260..340).contains(&rejected), "{rejected} of 400");
-    let planned = 3 * SECOND..=6 * SECOND;
-    let is_planned = |pause: &TimeDelta| planned.contains(pause);
-    assert!(pauses.iter().all(is_planned), "one to two pauses");
-    let shortest = pauses.iter().min().map(|&pause| pause + SECOND);
-    assert!(pauses.iter().max() > shortest.as_ref(), "and spread");
+    let planned_range = 3 * SECOND..=6 * SECOND;
+    let is_in_planned_range = |pause: &TimeDelta| planned_range.contains(pause);
+    assert!(
+        retry_delays.iter().all(is_in_planned_range),
+        "between one and two times the planned delay"
+    );
+    let shortest = retry_delays.iter().min().map(|&pause| pause + SECOND);
+    assert!(
+        retry_delays.iter().max() > shortest.as_ref(),
+        "the delays are spread"
+    );
     harness.deliver(&[Event::FailoverDirectivesChanged(
         FailoverDirectives::default(),
     )]);
@@ -133,7 +139,7 @@
     let ramped = reads_of_zone_one(&mut harness);
     assert!(
         full > 60 && ramped > 0 && ramped < full / 2,
-        "{full}, then {ramped}"
+        "{full} reads before the ramp, {ramped} on it"
     );
 }
 
@@ -174,7 +180,7 @@
     assert_eq!(
         sent_to(id, &actions),
         None,
-        "1.1 s after the first attempt the window of 1 s is over"
+        "1.1 s after the first attempt, the window of 1 s has ended"
     );
     let actions = harness.run_for(2 * SECOND);
     assert!(
@@ -230,7 +236,7 @@
     harness.report(2, false, harness.now);
     assert!(
         reads_of_member_two(&mut harness, Outcome::Ok) > 8,
-        "it is well again, and has its share"
+        "it has recovered and gets its share"
     );
 }
 
@@ -247,14 +253,14 @@
         let (id, actions) = harness.submit(BOUNDED_READ, None);
         read_of_one = read_of_one.or((sent_to(id, &actions) == Some(1)).then_some(id));
     }
-    let id = read_of_one.expect("one for the replica that was recent half a second ago");
+    let id = read_of_one.expect("one goes to the replica that was recent half a second ago");
     harness.end_attempt(id, 0, 1, Outcome::Unsuitable, Role::Replica);
     for _ in 0..8 {
         let (id, actions) = harness.submit(BOUNDED_READ, None);
         assert_ne!(
             sent_to(id, &actions),
             Some(1),
-            "it has shown that it is behind"
+            "its rejection showed that it is behind"
         );
     }
 }
@@ -268,7 +274,7 @@
         complete: false,
         endpoints: vec![endpoint(member, state)],
     };
-    let known = |harness: &RouterHarness| harness.router.snapshot().members.len();
+    let known_members = |harness: &RouterHarness| harness.router.snapshot().members.len();
     let (id, _) = harness.submit(KEYED_WRITE, None);
     for member in 3..200 {
         harness.deliver(&[
@@ -278,16 +284,20 @@
         harness.deliver(&[change(member, EndpointState::Removed)]);
         harness.now += SECOND;
     }
-    assert_eq!(known(&harness), 3, "those in service");
+    assert_eq!(known_members(&harness), 3, "those in service");
     harness.deliver(&[
         change(0, EndpointState::Draining),
         change(0, EndpointState::Removed),
     ]);
-    assert_eq!(known(&harness), 3, "the primary still has a request");
+    assert_eq!(
+        known_members(&harness),
+        3,
+        "the primary still has a request"
+    );
     harness.answer(id, 0);
     harness.report(0, true, harness.now);
     harness.deliver(&[change(1, EndpointState::Ready)]);
-    assert_eq!(known(&harness), 2);
+    assert_eq!(known_members(&harness), 2);
     harness.deliver(&[change(0, EndpointState::Ready)]);
     harness.report(0, true, harness.now);
     let (id, actions) = harness.submit(WRITE, None);
@@ -305,7 +315,7 @@
         assert_eq!(
             sent_to(id, &actions),
             Some(0),
-            "number {attempt}, after 50 ms of a usual 125"
+            "request {attempt}: the attempt took 50 ms of a usual latency of 125 ms"
         );
         harness.end_attempt(id, 1, 0, Outcome::Ok, Role::Primary);
     }
@@ -346,7 +356,7 @@
 /// Returns the number of requests sent to members in slow start in the first second after the
 /// restart of a whole group, out of 600 reads and 600 writes that arrive at this many gateways in
 /// total.
-fn sent_to_cold_group(gateway_count: u32) -> usize {
+fn sent_to_restarted_group(gateway_count: u32) -> usize {
     let mut sent = 0;
     for seed in 0..gateway_count {
         let mut settings = settings(StalenessCheck::Reject);
@@ -378,9 +388,9 @@
 }
 
 #[test]
-fn cold_group_gets_its_share_whatever_the_number_of_gateways() {
+fn restarted_group_gets_its_share_for_any_number_of_gateways() {
     for gateway_count in [1, 40, 300] {
-        let sent = sent_to_cold_group(gateway_count);
+        let sent = sent_to_restarted_group(gateway_count);
         // Members have 0.2 of their capacity, and the overload multiple is 4; 1,200 requests
         // arrive.
         assert!(
@@ -391,7 +401,7 @@
 }
 
 #[test]
-fn unchecked_read_is_rejected_without_a_proven_position() {
+fn unchecked_read_is_rejected_without_a_confirmed_position() {
     let mut harness = harness(StalenessCheck::None);
     // The primary loses its role, and no replica's position is recent.
     lose_primary(&mut harness);
@@ -422,7 +432,7 @@
         }
         member == Some(unreachable)
     });
-    assert!(returns, "no request was needed to find it again");
+    assert!(returns, "it gets requests again after the health check");
 }
 
 #[test]
@@ -456,10 +466,14 @@
     assert_eq!(
         sent_to(id, &actions),
         None,
-        "queued: it could only fail there"
+        "queued, because it could only fail there"
     );
     let actions = harness.answer(first, 0);
-    assert_eq!(sent_to(id, &actions), Some(0), "until it answers");
+    assert_eq!(
+        sent_to(id, &actions),
+        Some(0),
+        "sent once the primary has answered"
+    );
 }
 
 #[test]
@@ -472,7 +486,7 @@
     assert_eq!(
         sent_to(id, &actions),
         Some(2),
-        "a report that is late does not win"
+        "an older report that arrives late does not win"
     );
 }
 
@@ -511,7 +525,7 @@
 }
 
 #[test]
-fn queued_read_is_rejected_with_retry_after_before_it_is_worthless() {
+fn queued_read_is_rejected_with_retry_after_before_its_latency_objective() {
     let mut harness = harness(StalenessCheck::None);
     lose_primary(&mut harness);
     let (id, _) = harness.submit(STRONG_READ, None);
@@ -520,7 +534,7 @@
 }
 
 #[test]
-fn long_reads_gather_on_the_replica_furthest_behind() {
+fn long_reads_concentrate_on_the_replica_with_the_largest_lag() {
     let mut settings = settings(StalenessCheck::None);
     settings.classes[ANY_READ].latency_objective = 8 * SECOND;
     settings.classes[ANY_READ].deadline = 8 * SECOND;
@@ -555,15 +569,15 @@
 }
 
 #[test]
-fn cold_member_gets_no_long_read() {
+fn member_in_slow_start_gets_no_long_read() {
     let mut settings = settings(StalenessCheck::None);
     settings.gateway_count = 11;
     settings.classes[ANY_READ].latency_objective = 8 * SECOND;
     settings.classes[ANY_READ].deadline = 8 * SECOND;
     let mut harness = RouterHarness::new(settings);
-    let mut cold = endpoint(1, EndpointState::Ready);
-    cold.started = Some(harness.now);
-    harness.list_changes(vec![cold, endpoint(2, EndpointState::Removed)]);
+    let mut in_slow_start = endpoint(1, EndpointState::Ready);
+    in_slow_start.started = Some(harness.now);
+    harness.list_changes(vec![in_slow_start, endpoint(2, EndpointState::Removed)]);
     let (long, actions) = harness.submit(ANY_READ, None);
     assert_ne!(
         sent_to(long, &actions),
@@ -626,7 +640,7 @@
 }
 
 #[test]
-fn unsent_read_is_rejected_before_half_of_its_time_and_a_write_stays_queued() {
+fn unsent_read_is_rejected_before_half_of_its_deadline_and_a_write_stays_queued() {
     let mut settings = settings(StalenessCheck::Reject);
     settings.classes[STRONG_READ].latency_objective = 2 * SECOND;
     let mut harness = RouterHarness::new(settings);
@@ -635,11 +649,14 @@
     let (read, actions) = harness.submit(STRONG_READ, None);
     assert_eq!(sent_to(read, &actions), None, "queued: no primary is known");
     let actions = harness.run_for(800 * MILLISECOND);
-    assert!(!is_rejected(read, &actions), "a new primary may show up");
+    assert!(
+        !is_rejected(read, &actions),
+        "a new primary may still be found"
+    );
     let actions = harness.run_for(200 * MILLISECOND);
     assert!(
         is_rejected(read, &actions),
-        "its client waits for 2 s and can still come back"
+        "its client waits for 2 s and still has time to retry"
     );
     assert!(
         !is_rejected(write, &actions),
@@ -650,7 +667,7 @@
 }
 
 #[test]
-fn newer_long_read_does_not_bar_an_older_one_from_the_next_replica() {
+fn newer_long_read_does_not_block_an_older_one_from_the_next_replica() {
     let mut settings = settings(StalenessCheck::None);
     settings.gateway_count = 1;
     settings.classes[ANY_READ].latency_objective = 3 * SECOND;
@@ -674,6 +691,6 @@
     assert_eq!(
         sent_to(older, &actions),
         Some(2),
-        "after a quarter of its objective, however many came since"
+        "after a quarter of its objective, however many requests arrived since"
     );
 }
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -46,10 +46,14 @@
     assert_eq!(
         sent_to(id, &actions),
         None,
-        "queued while a health check may bring proof"
+        "queued while a health check may confirm a position"
     );
     let actions = harness.run_for(100 * MILLISECOND);
-    assert_eq!(sent_to(id, &actions), Some(0), "then the primary");
+    assert_eq!(
+        sent_to(id, &actions),
+        Some(0),
+        "sent to the primary afterwards"
+    );
 }
 
 #[test]
@@ -68,7 +72,7 @@
     assert_eq!(
         sent_to(id, &actions),
         Some(2),
-        "selected again when a status arrives"
+        "selection runs again when a status arrives"
     );
 }
 
@@ -113,14 +117,17 @@
     let mut actions = harness.end_attempt(id, 0, 0, Outcome::Unsuitable, Role::Replica);
     assert_eq!(sent_to(id, &actions), None, "queued");
     actions.extend(harness.run_for(200 * MILLISECOND));
-    assert!(health_checks(&actions) > 0, "and a primary is sought");
+    assert!(
+        health_checks(&actions) > 0,
+        "health checks look for a primary"
+    );
     assert!(!is_rejected(id, &actions) && !is_failed(id, &actions));
     let actions = harness.report(2, true, harness.now);
     assert_eq!(sent_to(id, &actions), Some(2));
 }
 
 #[test]
-fn random_pick_uses_both_replicas() {
+fn random_selection_uses_both_replicas() {
     let mut settings = settings(StalenessCheck::None);
     settings.zone = ZoneId(9);
     let mut harness = RouterHarness::new(settings);
@@ -141,9 +148,9 @@
     let mut harness = RouterHarness::new(settings(StalenessCheck::Reject));
     harness.run_for(400 * MILLISECOND);
     let (id, actions) = harness.submit(BOUNDED_READ, None);
-    let first = sent_to(id, &actions).expect("sent to a replica on its likely position");
+    let first = sent_to(id, &actions).expect("sent to a replica that is probably recent enough");
     assert!(first != 0);
     let actions = harness.end_attempt(id, 0, first, Outcome::Unsuitable, Role::Replica);
-    let next = sent_to(id, &actions).expect("and elsewhere after it was rejected");
+    let next = sent_to(id, &actions).expect("sent to another replica after the rejection");
     assert!(next != first);
 }
--- a/tests/settings.rs
+++ b/tests/settings.rs
@@ -57,7 +57,7 @@
 
 /// Submits requests of each class while members join, warm up, answer, drain and leave. Returns the
 /// shortest timer that the router sets.
-fn play(settings: &Value) -> Result<TimeDelta, PlatformSettingsError> {
+fn run_router(settings: &Value) -> Result<TimeDelta, PlatformSettingsError> {
     let platform = PlatformSettings::parse(settings, 7)?;
     let mut router = Router::new(platform.settings.clone());
     let mut now = Timestamp::ZERO + 1_000_000 * MS;
@@ -111,7 +111,7 @@
 #[test]
 fn settings_with_zero_huge_or_negative_figures_are_rejected_or_break_no_router() {
     let settings: Value = serde_json::from_str(include_str!("gateway/settings.json")).unwrap();
-    assert!(play(&settings).unwrap() >= MS);
+    assert!(run_router(&settings).unwrap() >= MS);
     let times = [
         "/Rules/ColdNs",
         "/Rules/DrainGraceNs",
@@ -133,11 +133,11 @@
         for value in [json!(0), json!(1), json!(i64::MAX), json!(-1)] {
             let mut changed = settings.clone();
             *changed.pointer_mut(path).unwrap() = value.clone();
-            match play(&changed) {
-                Ok(soonest) => assert!(
-                    soonest >= MS,
-                    "{path} = {value}: it wakes itself after {} ns",
-                    soonest.as_nanos()
+            match run_router(&changed) {
+                Ok(shortest_timer) => assert!(
+                    shortest_timer >= MS,
+                    "{path} = {value}: the router sets a timer of {} ns",
+                    shortest_timer.as_nanos()
                 ),
                 // The settings may also be rejected at the start, with the reason.
                 Err(error) => assert!(
--- a/tests/shared_health_checks.rs
+++ b/tests/shared_health_checks.rs
@@ -80,9 +80,9 @@
 /// shared.
 #[test]
 fn members_checked_by_others_are_not_checked_again() {
-    let health_checks_of = |shared: bool| {
+    let count_health_checks = |shared: bool| {
         let mut harness = harness(WAIT);
-        let mut sum = 0;
+        let mut health_check_count = 0;
         for _ in 0..100 {
             harness.now += 50 * MILLISECOND;
             if shared {
@@ -91,20 +91,20 @@
                     &mut harness,
                     [reported(TimeDelta::ZERO, 0.2), replica, replica],
                 );
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
             }
             let (id, actions) = harness.submit(BOUNDED_READ, None);
-            sum += health_checks(&actions);
+            health_check_count += health_checks(&actions);
             if let Some(member) = sent_to(id, &actions) {
-                sum += health_checks(&harness.answer_as_replica(id, member));
+                health_check_count += health_checks(&harness.answer_as_replica(id, member));
             }
         }
-        sum
+        health_check_count
     };
-    assert_eq!(health_checks_of(true), 0);
+    assert_eq!(count_health_checks(true), 0);
     assert!(
-        health_checks_of(false) > 0,
-        "without shared results it checks for itself"
+        count_health_checks(false) > 0,
+        "without shared results, the gateway checks members itself"
     );
 }
 
@@ -122,7 +122,7 @@
 
 /// Guards against a fleet that sends all reads to a primary which is already busy with writes.
 #[test]
-fn reads_without_a_recent_replica_go_to_the_primary_as_far_as_it_has_room() {
+fn reads_without_a_recent_replica_go_to_the_primary_while_it_has_capacity() {
     let behind = reported(900 * MILLISECOND, 0.2);
     let reads_of_primary = |cores_in_use| {
         reads_by_member(
@@ -138,7 +138,7 @@
 
 /// Guards against reads that concentrate on a host which other gateways have filled.
 #[test]
-fn reads_lean_to_the_replica_with_cores_to_spare() {
+fn reads_prefer_the_replica_with_idle_cores() {
     let reads = reads_by_member(
         300,
         [
@@ -178,7 +178,7 @@
 /// Guards against stale reads because of a wrong result of another gateway, where members do not
 /// check reads.
 #[test]
-fn results_prove_nothing_where_members_do_not_check_reads() {
+fn results_are_ignored_where_members_do_not_check_reads() {
     let mut harness = harness(StalenessCheck::None);
     harness.now += 10 * SECOND;
     share(&mut harness, [reported(TimeDelta::ZERO, 0.2); 3]);
@@ -200,7 +200,7 @@
 
 /// Guards against a fleet that overloads a host until it answers nothing in time.
 #[test]
-fn busy_member_is_spared_a_share_of_its_requests_and_writes_last() {
+fn requests_to_a_busy_member_are_shed_and_writes_last() {
     let sent_at_once = |class: usize, cores_in_use: f64| {
         let mut harness = harness(WAIT);
         for _ in 0..40 {
@@ -222,5 +222,5 @@
     let reads = sent_at_once(STRONG_READ, 1.0);
     assert!(reads < 20, "{reads}");
     let writes = sent_at_once(KEYED_WRITE, 1.0);
-    assert!(writes > reads, "{writes} of {reads}");
+    assert!(writes > reads, "{writes} writes, {reads} reads");
 }
--- a/tests/slow_start_across_gateways.rs
+++ b/tests/slow_start_across_gateways.rs
@@ -14,7 +14,7 @@
 
 const MEMBERS: u32 = 6;
 /// The member in slow start, in situations that have only one.
-const COLD: u32 = 5;
+const MEMBER_IN_SLOW_START: u32 = 5;
 /// Requests per second that a fully warmed-up member can serve.
 const CAPACITY_PER_SECOND: f64 = 100.0;
 /// Requests that such a member serves at the same time.
@@ -22,7 +22,7 @@
 /// Share of writes among the requests.
 const WRITE_SHARE: f64 = 0.1;
 /// Mean number of tries of each client during a release.
-const TRIES_IN_A_RELEASE: f64 = 2.6;
+const TRIES_PER_CLIENT_IN_A_RELEASE: f64 = 2.6;
 /// Simulated time.
 const DURATION: TimeDelta = TimeDelta::from_secs(8);
 
@@ -33,9 +33,9 @@
     Serves,
     /// The member in slow start lags behind and rejects reads at once. Rejected reads count towards
     /// its budget.
-    Behind,
+    LagsBehind,
     /// The member in slow start serves, while two of the other members are unreachable.
-    OthersSilent,
+    OthersUnreachable,
     /// A release has drained and removed three members. The other three are in slow start, and one
     /// of them is the new primary. The replicas lag behind, and clients retry repeatedly.
     Release,
@@ -43,11 +43,11 @@
 
 impl Situation {
     /// Returns the first member in slow start; those with higher numbers are in slow start, too.
-    fn first_cold(self) -> u32 {
+    fn first_in_slow_start(self) -> u32 {
         if self == Situation::Release {
             3
         } else {
-            COLD
+            MEMBER_IN_SLOW_START
         }
     }
 
@@ -62,12 +62,13 @@
     /// Returns when and how an attempt at a member ends. `service_time` applies if the member
     /// serves it.
     fn outcome(self, member: u32, service_time: TimeDelta) -> (TimeDelta, Outcome) {
-        let is_cold_replica = member >= self.first_cold() && member != self.primary();
+        let is_replica_in_slow_start =
+            member >= self.first_in_slow_start() && member != self.primary();
         match self {
-            Situation::Behind | Situation::Release if is_cold_replica => {
+            Situation::LagsBehind | Situation::Release if is_replica_in_slow_start => {
                 (MILLISECOND, Outcome::Unsuitable)
             }
-            Situation::OthersSilent if (1..=2).contains(&member) => {
+            Situation::OthersUnreachable if (1..=2).contains(&member) => {
                 (250 * MILLISECOND, Outcome::ConnectFailed)
             }
             _ => (service_time, Outcome::Ok),
@@ -99,7 +100,7 @@
     sent: u64,
     attempts: BTreeMap<(usize, RequestId), u32>,
     /// Times at which requests were sent to each member in slow start.
-    cold_sends: BTreeMap<u32, Vec<Timestamp>>,
+    slow_start_sends: BTreeMap<u32, Vec<Timestamp>>,
 }
 
 impl Fleet {
@@ -129,7 +130,7 @@
             in_flight: BTreeMap::new(),
             sent: 0,
             attempts: BTreeMap::new(),
-            cold_sends: BTreeMap::new(),
+            slow_start_sends: BTreeMap::new(),
         }
     }
 
@@ -137,7 +138,7 @@
     /// fully warmed up.
     fn run(&mut self, load: f64) {
         let tries = if self.situation == Situation::Release {
-            TRIES_IN_A_RELEASE
+            TRIES_PER_CLIENT_IN_A_RELEASE
         } else {
             1.0
         };
@@ -212,15 +213,22 @@
     }
 
     fn start_attempt(&mut self, gateway: usize, id: RequestId, member: u32) {
-        let is_cold = member >= self.situation.first_cold();
-        if is_cold {
-            self.cold_sends.entry(member).or_default().push(self.now);
+        let is_in_slow_start = member >= self.situation.first_in_slow_start();
+        if is_in_slow_start {
+            self.slow_start_sends
+                .entry(member)
+                .or_default()
+                .push(self.now);
         }
         self.member_load[member as usize] += 1.0;
-        let warmth = if is_cold { self.warmth(self.now) } else { 1.0 };
+        let warm_up_share = if is_in_slow_start {
+            self.warm_up_share(self.now)
+        } else {
+            1.0
+        };
         let queueing = (self.member_load[member as usize] / CONCURRENCY).max(1.0);
         let service_time =
-            SECOND.as_nanos_f64() / CAPACITY_PER_SECOND * CONCURRENCY * queueing / warmth;
+            SECOND.as_nanos_f64() / CAPACITY_PER_SECOND * CONCURRENCY * queueing / warm_up_share;
         let (duration, outcome) = self
             .situation
             .outcome(member, TimeDelta::from_nanos_f64(service_time));
@@ -239,7 +247,7 @@
     }
 
     /// Returns the share of its capacity that a member in slow start has.
-    fn warmth(&self, at: Timestamp) -> f64 {
+    fn warm_up_share(&self, at: Timestamp) -> f64 {
         let age = (at - self.started_at).as_nanos_f64() / self.rules.warm_up_time.as_nanos_f64();
         self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * age.min(1.0)
     }
@@ -248,7 +256,7 @@
     /// plus a margin for random variation.
     fn budget(&self, at: Timestamp) -> f64 {
         let window = self.rules.overload_window.as_nanos_f64() / SECOND.as_nanos_f64();
-        let capacity = self.warmth(at) * CAPACITY_PER_SECOND;
+        let capacity = self.warm_up_share(at) * CAPACITY_PER_SECOND;
         let budget = self.rules.overload_multiple * capacity * window;
         budget + 2.0 * budget.sqrt() + 2.0
     }
@@ -256,12 +264,12 @@
     /// Returns the largest excess of the requests sent to a member over its budget in any window.
     fn excess(&self, sends: &[Timestamp]) -> f64 {
         let window = self.rules.overload_window;
-        let in_window_before = |end: Timestamp| {
+        let count_in_window_ending_at = |end: Timestamp| {
             let is_inside = |&&at: &&Timestamp| at <= end && at > end - window;
             sends.iter().filter(is_inside).count()
         };
         (sends.iter())
-            .map(|&at| in_window_before(at) as f64 - self.budget(at))
+            .map(|&at| count_in_window_ending_at(at) as f64 - self.budget(at))
             .fold(f64::NEG_INFINITY, f64::max)
     }
 }
@@ -269,11 +277,11 @@
 /// Creates a gateway that knows all members, and which of them are in slow start.
 fn gateway(settings: Settings, situation: Situation) -> RouterHarness {
     let mut harness = RouterHarness::new(settings);
-    let first_cold = situation.first_cold();
+    let first_in_slow_start = situation.first_in_slow_start();
     let started = harness.now;
     let endpoints = (0..MEMBERS)
         .map(|member| Endpoint {
-            started: (member >= first_cold).then_some(started),
+            started: (member >= first_in_slow_start).then_some(started),
             ..endpoint(member, EndpointState::Ready)
         })
         .collect();
@@ -283,7 +291,7 @@
     }
     if situation == Situation::Release {
         for state in [EndpointState::Draining, EndpointState::Removed] {
-            let endpoints = (0..first_cold).map(|member| endpoint(member, state));
+            let endpoints = (0..first_in_slow_start).map(|member| endpoint(member, state));
             harness.list_changes(endpoints.collect());
         }
     }
@@ -294,7 +302,7 @@
 fn worst_excess(gateway_count: u32, load: f64, situation: Situation, seed: u64) -> f64 {
     let mut fleet = Fleet::new(gateway_count, situation, seed);
     fleet.run(load);
-    (fleet.cold_sends.values())
+    (fleet.slow_start_sends.values())
         .map(|sends| fleet.excess(sends))
         .fold(f64::NEG_INFINITY, f64::max)
 }
@@ -302,11 +310,11 @@
 /// Guards against loads that are each harmless and together overload a member in slow start,
 /// whatever the number of gateways, the speed of its answers and the state of the other members.
 #[test]
-fn all_gateways_together_keep_the_budget_of_a_cold_member() {
+fn all_gateways_together_stay_within_the_budget_of_a_member_in_slow_start() {
     let situations = [
         Situation::Serves,
-        Situation::Behind,
-        Situation::OthersSilent,
+        Situation::LagsBehind,
+        Situation::OthersUnreachable,
         Situation::Release,
     ];
     for gateway_count in [3, 20, 31, 60] {
@@ -317,7 +325,7 @@
                     .fold(f64::NEG_INFINITY, f64::max);
                 assert!(
                     worst <= 0.0,
-                    "{gateway_count} gateways, {situation:?}, load {load}: {worst:.0} beyond chance"
+                    "{gateway_count} gateways, {situation:?}, load {load}: {worst:.0} requests beyond the budget and its margin"
                 );
             }
         }
--- a/tests/snapshot.rs
+++ b/tests/snapshot.rs
@@ -51,7 +51,10 @@
         let mut expected = defaults.clone();
         expected[key] = value.clone();
         assert_eq!(written(&snapshot)["members"][0][1], expected, "{key}");
-        assert_ne!(*value, defaults[key], "{key} of the fixture is no default");
+        assert_ne!(
+            *value, defaults[key],
+            "{key} of the fixture must differ from the default"
+        );
     }
 }
 
@@ -89,7 +92,7 @@
 /// If a snapshot is rejected, the new version starts without the state of the old one, so this must
 /// not change unnoticed.
 #[test]
-fn keys_twice_and_values_of_other_types_are_rejected_and_values_by_position_accepted() {
+fn duplicate_keys_and_values_of_wrong_types_are_rejected_and_positional_values_accepted() {
     let member = |record: &str| format!(r#"{{"members": [[7, {record}]]}}"#);
     assert!(is_accepted(&member(
         r#"{"lag": 1, "later": 1, "later": 2}"#
@@ -104,8 +107,8 @@
     assert!(!is_accepted(r#"{"members": [[7]]}"#));
     assert!(!is_accepted(r#"{"members": [[7, {}, {}]]}"#));
     assert!(!is_accepted(r#"{"members": [{"id": 7, "member": {}}]}"#));
-    let by_position = read(&json!({ "members": [[7, [3, 2, 1.5, true, false, 9]]] }));
-    let record = &written(&by_position)["members"][0][1];
+    let positional = read(&json!({ "members": [[7, [3, 2, 1.5, true, false, 9]]] }));
+    let record = &written(&positional)["members"][0][1];
     assert_eq!(record["group"], 3);
     assert_eq!(record["gone"], true);
     assert_eq!(record["gone_at"], 9);
--- a/tests/time.rs
+++ b/tests/time.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn instants_differ_by_lengths_that_lead_from_one_to_the_other() {
+fn difference_of_timestamps_leads_from_one_to_the_other() {
     assert_eq!(at(1_000) - at(300), length(700));
     assert_eq!(at(300) - at(1_000), length(-700));
     assert_eq!(at(300) + length(700), at(1_000));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn never_is_later_than_any_instant_and_saturating_arithmetic_stays_there() {
+fn maximum_is_later_than_any_other_timestamp_and_saturating_arithmetic_stays_there() {
     assert!(Timestamp::MIN < Timestamp::ZERO && Timestamp::ZERO < Timestamp::MAX);
     assert_eq!(Timestamp::MAX.saturating_add(length(1)), Timestamp::MAX);
     assert_eq!(Timestamp::MIN.saturating_add(length(-1)), Timestamp::MIN);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn numbers_with_a_fraction_are_cut_off_and_those_out_of_range_saturate() {
+fn fractions_are_truncated_and_numbers_out_of_range_saturate() {
     assert_eq!(TimeDelta::from_nanos_f64(1.9), length(1));
     assert_eq!(TimeDelta::from_nanos_f64(-1.9), length(-1));
     assert_eq!(TimeDelta::from_nanos_f64(1e300), TimeDelta::MAX);
