--- a/src/routing/health_check_dispatch.rs
+++ b/src/routing/health_check_dispatch.rs
@@ -1,8 +1,8 @@
 //! Sending of health checks, which carry no request: on demand of queued requests, and
 //! periodically.
 //!
-//! Which are due and how many are paid for is in `health_check`. Where one replica is checked for
-//! many, selection picks it.
+//! `health_check` decides which checks are due and how many of them the requests pay for. Where one
+//! replica is checked for all queued requests, selection chooses it.
 
 use super::action::Action;
 use super::identifiers::{GroupId, MemberId, RequestId};
@@ -10,16 +10,16 @@
 use super::time::TimeDelta;
 
 impl Router {
-    /// A request has come in: it pays for health checks, and those that are due periodically are
-    /// sent.
-    pub(super) fn pay_for_health_checks(&mut self) {
+    /// Adds a new request's payment to the health check budget, and sends the periodic health
+    /// checks that are due.
+    pub(super) fn fund_health_checks(&mut self) {
         let price = self.fleet.settings.health_check_price;
         self.health_checks.deposit(price);
         self.send_periodic_health_checks();
     }
 
-    /// Notes what a queued request waits for, so that health checks are spent on it.
-    pub(super) fn note_unmet_needs(&mut self, id: RequestId) {
+    /// Records what a queued request waits for, so that health checks are sent for it.
+    pub(super) fn record_unmet_needs(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         let now = self.fleet.now;
         let requires_primary = self.fleet.requires_primary(request.class);
@@ -41,9 +41,9 @@
         }
     }
 
-    /// Sends the health checks that a group's queued requests need: for a primary that answers, or
-    /// for proof of a replica's position, and for room at the primary. None where gateways share
-    /// their health checks.
+    /// Sends the health checks that a group's queued requests need: to find a primary that answers,
+    /// or to confirm the position of a replica, and to learn whether the primary has capacity.
+    /// Sends none where gateways share their health checks.
     pub(super) fn send_health_checks_on_demand(&mut self, group_id: GroupId) {
         if self.fleet.has_shared_health_checks(group_id) {
             return;
@@ -56,9 +56,9 @@
             due = self.fleet.primary_search_due(group_id);
         } else if group_checks.position_check_due(now, timeout) {
             let candidates = self.fleet.position_check_candidates(group_id);
-            due.extend(self.pick(&candidates));
+            due.extend(self.choose_weighted(&candidates));
             let group = self.fleet.group_mut(group_id);
-            group.health_checks.position_checked(now);
+            group.health_checks.record_position_check(now);
         }
         due.extend(self.fleet.primary_load_check_due(group_id));
         for member in due {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Sends the health checks that are due without any request that needs them, as far as the
-    /// budget goes.
+    /// Sends the health checks that are due independently of any request, as far as the budget
+    /// allows.
     fn send_periodic_health_checks(&mut self) {
         let limit = self.health_checks.affordable_periodic();
         if limit == 0 {
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -1,4 +1,4 @@
-//! What follows when a request is not served at once: queueing, retries, hedged requests, and the
+//! Handling of requests that are not served at once: queueing, retries, hedged requests, and the
 //! final answer.
 
 use super::action::Action;
@@ -11,24 +11,26 @@
 use super::time::{TimeDelta, Timestamp};
 use std::collections::VecDeque;
 
-/// What a hedged request costs the retry budget: a full attempt.
+/// Cost of a hedged request in the retry budget: that of a full attempt.
 const HEDGE_COST: f64 = 1.0;
-/// A request may be hedged once this share of the time to its latency objective has passed without
-/// an answer.
-const HEDGE_DELAY: f64 = 0.5;
-/// A read that no member has been sent is queued for this share of its client's patience at most.
+/// A request may be hedged when this share of the time from its sending to its latency objective
+/// has passed without an answer.
+const HEDGE_DELAY_SHARE: f64 = 0.5;
+/// A read that no member has received is queued for at most this share of the time that its client
+/// waits.
 const UNSENT_READ_QUEUE_SHARE: f64 = 0.45;
 
 impl Router {
-    /// An attempt failed. Unless another one is in flight, the request is tried again, or given up.
-    pub(super) fn after_failure(&mut self, id: RequestId, outcome: Outcome, elapsed: TimeDelta) {
+    /// Handles a failed attempt. Unless another attempt is in flight, the request is queued again
+    /// for a retry, or given up.
+    pub(super) fn retry_or_give_up(&mut self, id: RequestId, outcome: Outcome, elapsed: TimeDelta) {
         let request = self.requests.get(id);
         if request.answered || request.is_in_flight() {
             return;
         }
         let idempotency = self.class(request).idempotency;
         let repeatable = idempotency != Idempotency::NotIdempotent || !request.may_have_run();
-        let in_time = self.fleet.now < self.latest_send(request);
+        let in_time = self.fleet.now < self.latest_send_time(request);
         let usual_latency = self.fleet.class_latency.usual(request.class);
         let cost = RetryBudget::retry_cost(outcome, elapsed, usual_latency);
         let allowed = repeatable && in_time && self.has_attempts_left(request);
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Queues a request until a member is found for it.
+    /// Queues a request until a member is selected for it.
     pub(super) fn enqueue(&mut self, id: RequestId) {
         let classes = self.fleet.settings.classes.len();
         let Some(request) = self.requests.by_id.get(&id) else {
@@ -55,18 +57,20 @@
         group.queues.resize(classes, VecDeque::new());
         group.queues[class].push_back(id);
         self.fleet.selection.group_changed(request.group);
-        self.review_before_giving_up(id);
+        self.schedule_give_up_review(id);
     }
 
-    /// Until when a request may be queued. A client that is rejected late without any attempt has
-    /// waited for nothing and has too little time left to come back; once half of its patience is
-    /// spent, that is so whenever it is told. A write is queued to its end: an election outlasts
-    /// any shorter time, and all writes would fail.
+    /// Returns the time until which a request may be queued. A read that no member has received is
+    /// rejected early, because a client that is rejected late has waited for nothing and has too
+    /// little time left to retry. If that limit has already passed, a rejection before the deadline
+    /// does not help the client, so the read stays queued for as long as it can be answered in
+    /// time. A write always stays queued that long, because an election outlasts any shorter limit,
+    /// and all writes would fail.
     fn queued_until(&self, request: &Request) -> Timestamp {
         let is_read = self.class(request).freshness != Freshness::Write;
-        let patience = (request.deadline - request.arrived_at).as_nanos_f64();
+        let client_wait = (request.deadline - request.arrived_at).as_nanos_f64();
         let limit =
-            request.arrived_at + TimeDelta::from_nanos_f64(patience * UNSENT_READ_QUEUE_SHARE);
+            request.arrived_at + TimeDelta::from_nanos_f64(client_wait * UNSENT_READ_QUEUE_SHARE);
         if is_read && request.is_unsent() && self.fleet.now < limit {
             limit
         } else {
@@ -74,18 +78,19 @@
         }
     }
 
-    /// When a request that is queued now is given up.
+    /// Returns the time at which a request that is queued now is given up.
     fn give_up_at(&self, request: &Request) -> Timestamp {
-        self.latest_send(request).min(request.queued_until)
+        self.latest_send_time(request).min(request.queued_until)
     }
 
-    fn review_before_giving_up(&mut self, id: RequestId) {
+    fn schedule_give_up_review(&mut self, id: RequestId) {
         let time = self.give_up_at(self.requests.get(id));
         self.requests
             .review_at(time.max(self.fleet.now + TimeDelta::NANOSECOND), id);
     }
 
-    /// Looks at the requests whose review is due: they are given up, or may be hedged.
+    /// Processes the requests whose review is due: queued requests are given up when their time has
+    /// come, and requests in flight may be hedged.
     pub(super) fn review_requests(&mut self) {
         while let Some(id) = self.requests.take_due_review(self.fleet.now) {
             let Some(request) = self.requests.unanswered(id) else {
@@ -96,31 +101,34 @@
             } else if self.fleet.now >= self.give_up_at(request) {
                 self.give_up(id);
             } else {
-                self.review_before_giving_up(id);
+                self.schedule_give_up_review(id);
             }
         }
     }
 
-    /// When a request that is sent now may be hedged, if ever.
+    /// Returns the time from which a request that is sent now may be hedged, or `None` if it may
+    /// not be.
     pub(super) fn hedge_at(&self, request: &Request) -> Option<Timestamp> {
         let class = self.class(request);
         let now = self.fleet.now;
         let time_left = request.arrived_at + class.latency_objective - now;
-        let hedge_at = now + TimeDelta::from_nanos_f64(HEDGE_DELAY * time_left.as_nanos_f64());
+        let hedge_at =
+            now + TimeDelta::from_nanos_f64(HEDGE_DELAY_SHARE * time_left.as_nanos_f64());
         let permitted = self.fleet.settings.limits.hedged_requests;
         let may_be_hedged = permitted && class.idempotency == Idempotency::Idempotent;
         (may_be_hedged && hedge_at > now).then_some(hedge_at)
     }
 
-    /// Sends a second attempt elsewhere if the member of the only one has fallen silent. A member
-    /// that still answers other requests is only slow.
+    /// Sends a second attempt to another member if the member of the only attempt in flight is
+    /// suspected. A member that still answers other requests is only slow; the request is reviewed
+    /// again later.
     fn hedge(&mut self, id: RequestId) {
         let request = self.requests.get(id);
         let Some(member) = request.only_member_in_flight() else {
             return;
         };
         let now = self.fleet.now;
-        if !self.retry_budget.covers(HEDGE_COST) || now >= self.latest_send(request) {
+        if !self.retry_budget.covers(HEDGE_COST) || now >= self.latest_send_time(request) {
             return;
         }
         if !self.fleet.is_suspected(member) {
@@ -134,7 +142,8 @@
         }
     }
 
-    /// Gives a request its final answer, at once: rejected if a repeat is harmless, else failed.
+    /// Gives a request its final answer at once: rejected if a repeat is harmless, otherwise
+    /// failed.
     pub(super) fn give_up(&mut self, id: RequestId) {
         let Some(request) = self.requests.unanswered(id) else {
             return;
@@ -157,8 +166,8 @@
         self.close(id);
     }
 
-    /// Time that a rejected client should wait before it retries. The failover plan's is spread, so
-    /// that not all clients come back at the same time.
+    /// Returns how long a rejected client should wait before it retries. The time from the failover
+    /// plan is spread at random, so that not all clients return at the same time.
     fn retry_after(&self, request: &Request) -> TimeDelta {
         let limits = &self.fleet.settings.limits;
         if !limits.retry_after {
@@ -172,8 +181,8 @@
         retry_after.min(limits.max_retry_after)
     }
 
-    /// Nothing more is done for this request. Attempts in flight are cancelled, so that they free
-    /// their places.
+    /// Finishes a request. Its attempts in flight are cancelled where that is permitted, so that
+    /// they free the members' capacity.
     pub(super) fn close(&mut self, id: RequestId) {
         let in_flight = self.requests.finish(id);
         if self.fleet.settings.limits.cancellation {
--- a/src/routing/router.rs
+++ b/src/routing/router.rs
@@ -1,9 +1,10 @@
 //! The router: takes events in batches and returns actions.
 //!
-//! It drives the decisions of `selection` (which member), `admission` (what may be sent) and
-//! `retry` (what follows a failure), and hands all that is only learnt to `fleet`. On the ordinary
-//! path it filters a group's members by role and last known position, keeps those within the window
-//! of the best latency, picks one of them at random, and queues the request when none is suitable.
+//! The router calls `selection` (which member serves a request), `admission` (whether an attempt
+//! may be sent) and `retry` (what happens after a failed attempt), and passes observations of
+//! members to `fleet`. On the common path, it filters the members of a group by role and last known
+//! position, keeps those within the latency window of the best one, chooses one of them at random,
+//! and queues the request if no member is suitable.
 
 use super::action::Action;
 use super::event::{Event, FailoverDirectives};
@@ -17,9 +18,9 @@
 use super::time::{TimeDelta, Timestamp};
 use super::timer::TimerSchedule;
 
-/// Share of the latency objective that a read waits for a health check to prove a replica recent,
-/// or a member to have room, before it takes the second choice.
-const HEALTH_CHECK_WAIT: f64 = 0.03;
+/// Share of the latency objective for which a request waits for a health check, which may confirm
+/// that a replica is recent or that a member has capacity, before selection goes on without it.
+const HEALTH_CHECK_WAIT_SHARE: f64 = 0.03;
 
 /// The routing decisions of one gateway.
 pub struct Router {
@@ -30,21 +31,21 @@
     pub(super) failover: FailoverDirectives,
     pub(super) timer: TimerSchedule,
     pub(super) rng: oorandom::Rand64,
-    /// The actions of the present batch.
+    /// Actions collected for the current batch.
     pub(super) actions: Vec<Action>,
 }
 
 impl Router {
-    /// A router that knows its settings and nothing else.
+    /// Creates a router that knows its settings and nothing about the fleet.
     pub fn new(settings: Settings) -> Self {
-        let watch = settings.endpoint_list_on_request;
+        let subscribe_at_start = settings.endpoint_list_on_request;
         Router {
             rng: oorandom::Rand64::new(u128::from(settings.seed)),
             fleet: Fleet::new(settings),
             requests: RequestTable::default(),
             retry_budget: RetryBudget::new(),
             failover: FailoverDirectives::default(),
-            actions: watch
+            actions: subscribe_at_start
                 .then_some(Action::WatchEndpoints)
                 .into_iter()
                 .collect(),
@@ -53,7 +54,8 @@
         }
     }
 
-    /// Takes all events first, then decides.
+    /// Applies all events, then makes the decisions that follow from them, and returns the
+    /// resulting actions.
     pub fn batch(&mut self, now: Timestamp, events: &[Event]) -> Vec<Action> {
         self.fleet.now = now;
         for event in events {
@@ -68,12 +70,12 @@
         std::mem::take(&mut self.actions)
     }
 
-    /// What this router has learnt.
+    /// Returns what this router knows about the fleet, for another router of the same gateway.
     pub fn snapshot(&self) -> RoutingSnapshot {
         RoutingSnapshot::of(&self.fleet)
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     pub(super) fn class(&self, request: &Request) -> &RequestClass {
         &self.fleet.settings.classes[request.class]
     }
@@ -130,7 +132,7 @@
             sample: self.rng.rand_float(),
             ..Request::default()
         };
-        self.pay_for_health_checks();
+        self.fund_health_checks();
         self.requests.by_id.insert(*id, request);
         self.retry_budget.deposit();
         if self.failover_plan_admits(*class) {
@@ -140,16 +142,16 @@
         }
     }
 
-    /// How long a request of this class waits for a health check rather than take the second
-    /// choice.
+    /// Returns how long a request of this class waits for a health check before selection goes on
+    /// without its result.
     fn health_check_wait(&self, class: usize) -> TimeDelta {
         let settings = &self.fleet.settings;
-        let proof_needed = !settings.positions_in_answers
+        let needs_confirmed_position = !settings.positions_in_answers
             && settings.staleness_check == StalenessCheck::None
             && settings.limits.health_checks;
-        if proof_needed || self.fleet.relies_on_load_reports() {
+        if needs_confirmed_position || self.fleet.relies_on_load_reports() {
             let objective = settings.classes[class].latency_objective.as_nanos_f64();
-            TimeDelta::from_nanos_f64(objective * HEALTH_CHECK_WAIT)
+            TimeDelta::from_nanos_f64(objective * HEALTH_CHECK_WAIT_SHARE)
         } else {
             TimeDelta::ZERO
         }
@@ -193,7 +195,7 @@
         if *finished {
             self.close(*id);
         } else {
-            self.after_failure(*id, *outcome, *elapsed);
+            self.retry_or_give_up(*id, *outcome, *elapsed);
         }
         self.requests.remove_if_finished(*id);
     }
--- a/tests/large_fleet.rs
+++ b/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! Fleets of hundreds of gateways, in which one gateway sends a member a request in many seconds.
+//! Fleets of hundreds of gateways, in which each gateway sends a member a request only every few
+//! seconds.
 
 mod router_harness;
 
@@ -10,7 +11,7 @@
     SECOND, SESSION_READ, WRITE,
 };
 
-/// One of this many gateways.
+/// A router of one of this many gateways.
 fn harness(staleness_check: StalenessCheck, gateway_count: u32, seed: u64) -> RouterHarness {
     let mut settings = settings(staleness_check);
     settings.gateway_count = gateway_count;
@@ -18,7 +19,7 @@
     RouterHarness::new(settings)
 }
 
-/// One of this many gateways, in a zone without members.
+/// A router of one of this many gateways, in a zone without members.
 fn harness_in_empty_zone(gateway_count: u32, seed: u64) -> RouterHarness {
     let mut settings = settings(StalenessCheck::Reject);
     settings.gateway_count = gateway_count;
@@ -27,7 +28,8 @@
     RouterHarness::new(settings)
 }
 
-/// A health check succeeds: a member whose data are current reports its requests in flight.
+/// Delivers a successful health check in which a member with current data reports its requests in
+/// flight.
 fn report_in_flight(harness: &mut RouterHarness, member: u32, in_flight: f64) -> Vec<Action> {
     let report = LoadReport {
         position: Some(harness.now),
@@ -48,41 +50,41 @@
 #[test]
 fn health_checks_grow_with_requests_and_not_with_gateways() {
     for gateway_count in [1, 10, 300] {
-        let mut sum = 0;
+        let mut health_check_count = 0;
         for seed in 0..gateway_count {
             let mut harness = harness(StalenessCheck::None, gateway_count, u64::from(seed));
             for _ in 0..600 / gateway_count {
                 let (id, actions) = harness.submit(BOUNDED_READ, None);
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
                 let actions = match sent_to(id, &actions) {
                     Some(member) => harness.answer_as_replica(id, member),
                     None => harness.run_for(50 * MILLISECOND),
                 };
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
             }
         }
         assert!(
-            sum <= 3 * 600,
-            "{gateway_count} gateways: {sum} health checks for 600 requests"
+            health_check_count <= 3 * 600,
+            "{gateway_count} gateways: {health_check_count} health checks for 600 requests"
         );
     }
 }
 
-/// Guards against health checks that cost more than the requests that they are for are worth.
+/// Guards against health checks that cost more than the requests that they are sent for are worth.
 #[test]
 fn expensive_health_checks_are_fewer_than_the_requests_that_pay_for_them() {
-    for (price, least, most) in [(0.04, 300, 2_000), (0.4, 30, 200)] {
+    for (price, min_health_checks, max_health_checks) in [(0.04, 300, 2_000), (0.4, 30, 200)] {
         let mut settings = settings(StalenessCheck::None);
         settings.gateway_count = 1;
         settings.seed = 4;
         settings.health_check_price = price;
         let mut harness = RouterHarness::new(settings);
-        let mut sum = 0;
+        let mut health_check_count = 0;
         for _ in 0..600 {
-            // Each read needs a replica that has just said how recent it is.
+            // Each read needs a replica that has just reported a recent position.
             let (id, mut actions) = harness.submit(BOUNDED_READ, None);
             for _ in 0..8 {
-                sum += health_checks(&actions);
+                health_check_count += health_checks(&actions);
                 let checked = first_health_check(&actions);
                 if let Some(member) = sent_to(id, &actions) {
                     harness.answer_as_replica(id, member);
@@ -94,13 +96,13 @@
             }
         }
         assert!(
-            (least..most).contains(&sum),
-            "{sum} health checks at {price}"
+            (min_health_checks..max_health_checks).contains(&health_check_count),
+            "{health_check_count} health checks at {price}"
         );
     }
 }
 
-/// The member of the first health check among these actions.
+/// Returns the member of the first health check that these actions start.
 fn first_health_check(actions: &[Action]) -> Option<u32> {
     actions.iter().find_map(|action| match action {
         Action::HealthCheck { member } => Some(member.0),
@@ -120,12 +122,12 @@
     assert_eq!(
         sent_to(id, &actions),
         Some(2),
-        "and is sent once one has room"
+        "sent once a replica has capacity"
     );
 }
 
 #[test]
-fn read_goes_to_the_primary_only_when_that_has_reported_room() {
+fn read_goes_to_the_primary_only_after_it_reports_capacity() {
     let mut harness = harness(StalenessCheck::None, 300, 4);
     harness.now += 5 * SECOND;
     let (id, mut actions) = harness.submit(BOUNDED_READ, None);
@@ -133,7 +135,7 @@
     assert_eq!(
         sent_to(id, &actions),
         None,
-        "no replica is proven recent, the primary's load is unknown"
+        "no replica has a confirmed recent position, and the primary's load is unknown"
     );
     assert!(actions.contains(&Action::HealthCheck {
         member: MemberId(0)
@@ -164,29 +166,29 @@
     }
     assert!(
         sent_to_new < 67,
-        "{sent_to_new} of 100 gateways sent a member they never heard of their next request"
+        "{sent_to_new} of 100 gateways sent their next request to a member that they have no answers from"
     );
 }
 
 #[test]
-fn cold_member_alone_in_its_zone_is_not_the_choice_of_the_whole_zone() {
-    let mut sent_to_cold = 0;
+fn member_in_slow_start_alone_in_its_zone_does_not_get_all_requests_of_the_zone() {
+    let mut sent_to_slow_start = 0;
     for seed in 0..200 {
         let mut harness = harness(StalenessCheck::Reject, 200, seed);
-        // Member 2 is the only replica of the gateway's zone, 0.
-        let cold = Endpoint {
+        // Member 2 is the only replica in the gateway's zone, which is zone 0.
+        let in_slow_start = Endpoint {
             started: Some(harness.now),
             ..endpoint(2, EndpointState::Ready)
         };
-        harness.list_changes(vec![cold]);
+        harness.list_changes(vec![in_slow_start]);
         report_in_flight(&mut harness, 1, 1.0);
         report_in_flight(&mut harness, 2, 1.0);
         let (id, actions) = harness.submit(SESSION_READ, None);
-        sent_to_cold += u32::from(sent_to(id, &actions) == Some(2));
+        sent_to_slow_start += u32::from(sent_to(id, &actions) == Some(2));
     }
     assert!(
-        sent_to_cold > 0 && sent_to_cold < 80,
-        "{sent_to_cold} of 200"
+        sent_to_slow_start > 0 && sent_to_slow_start < 80,
+        "{sent_to_slow_start} of 200 gateways"
     );
 }
 
@@ -195,17 +197,21 @@
     let mut harness = harness(StalenessCheck::Reject, 300, 5);
     harness.now += 5 * SECOND;
     let (id, actions) = harness.submit(WRITE, None);
-    assert_eq!(sent_to(id, &actions), None, "it asks first");
+    assert_eq!(
+        sent_to(id, &actions),
+        None,
+        "queued until the primary reports its load"
+    );
     let actions = report_in_flight(&mut harness, 0, 500.0);
     assert_eq!(sent_to(id, &actions), None);
     let actions = harness.run_for(200 * MILLISECOND);
-    assert_eq!(sent_to(id, &actions), None, "the report counts for a while");
+    assert_eq!(sent_to(id, &actions), None, "the report still counts");
     let actions = report_in_flight(&mut harness, 0, 0.0);
     assert_eq!(sent_to(id, &actions), Some(0));
 }
 
 #[test]
-fn report_of_nothing_in_flight_does_not_draw_the_reads_of_all_gateways() {
+fn report_of_nothing_in_flight_does_not_attract_the_reads_of_all_gateways() {
     let mut sent_to_idle = 0;
     for seed in 0..200 {
         let mut harness = harness_in_empty_zone(300, seed);
@@ -220,7 +226,8 @@
     );
 }
 
-/// Guards against requests that wait, and health checks that are spent, for what no report brings.
+/// Guards against requests that wait, and health checks that are sent, for a load figure that
+/// reports do not contain.
 #[test]
 fn request_waits_for_a_load_report_only_where_reports_count_requests_in_flight() {
     for in_flight_reported in [false, true] {
--- a/tests/server_selection.rs
+++ b/tests/server_selection.rs
@@ -1,4 +1,4 @@
-//! The steps of server selection as the design has them, one router at a time.
+//! The steps of server selection, tested on one router at a time.
 
 mod router_harness;
 
@@ -26,7 +26,8 @@
     harness.report(1, false, harness.now - 400 * MILLISECOND);
     harness.now += 100 * MILLISECOND;
     let (id, actions) = harness.submit(BOUNDED_READ, None);
-    // Both replicas were current a tenth of a second ago: inside the bound of 300 ms.
+    // Positions never go back, so both replicas are still known to be current as of 100 ms ago,
+    // which is within the bound of 300 ms.
     assert!(matches!(sent_to(id, &actions), Some(1 | 2)));
 }
 
@@ -45,10 +46,14 @@
     assert_eq!(
         sent_to(id, &actions),
         None,
-        "queued while a health check may bring proof"
+        "queued while a health check may confirm a position"
     );
     let actions = harness.run_for(100 * MILLISECOND);
-    assert_eq!(sent_to(id, &actions), Some(0), "then the primary");
+    assert_eq!(
+        sent_to(id, &actions),
+        Some(0),
+        "sent to the primary afterwards"
+    );
 }
 
 #[test]
@@ -67,7 +72,7 @@
     assert_eq!(
         sent_to(id, &actions),
         Some(2),
-        "selected again when a status arrives"
+        "selection runs again when a status arrives"
     );
 }
 
@@ -112,14 +117,17 @@
     let mut actions = harness.end_attempt(id, 0, 0, Outcome::Unsuitable, Role::Replica);
     assert_eq!(sent_to(id, &actions), None, "queued");
     actions.extend(harness.run_for(200 * MILLISECOND));
-    assert!(health_checks(&actions) > 0, "and a primary is sought");
+    assert!(
+        health_checks(&actions) > 0,
+        "health checks look for a primary"
+    );
     assert!(!is_rejected(id, &actions) && !is_failed(id, &actions));
     let actions = harness.report(2, true, harness.now);
     assert_eq!(sent_to(id, &actions), Some(2));
 }
 
 #[test]
-fn random_pick_uses_both_replicas() {
+fn random_selection_uses_both_replicas() {
     let mut settings = settings(StalenessCheck::None);
     settings.zone = ZoneId(9);
     let mut harness = RouterHarness::new(settings);
@@ -140,9 +148,9 @@
     let mut harness = RouterHarness::new(settings(StalenessCheck::Reject));
     harness.run_for(400 * MILLISECOND);
     let (id, actions) = harness.submit(BOUNDED_READ, None);
-    let first = sent_to(id, &actions).expect("sent to a replica on its likely position");
+    let first = sent_to(id, &actions).expect("sent to a replica that is probably recent enough");
     assert!(first != 0);
     let actions = harness.end_attempt(id, 0, first, Outcome::Unsuitable, Role::Replica);
-    let next = sent_to(id, &actions).expect("and elsewhere after it was rejected");
+    let next = sent_to(id, &actions).expect("sent to another replica after the rejection");
     assert!(next != first);
 }
