--- a/src/net/request/answer.rs
+++ b/src/net/request/answer.rs
@@ -1,4 +1,4 @@
-//! The final answer of a request, given exactly once.
+//! The final answer to a request, which is sent exactly once.
 
 use crate::net::buffers::Buffer;
 use crate::net::duration;
@@ -10,29 +10,30 @@
 
 const NANOSECONDS_PER_MILLISECOND: u128 = 1_000_000;
 
-/// The final answer.
+/// The final answer to a request.
 pub enum Answer {
-    /// A row, as a database host made it for this request.
+    /// The messages of the row that a database host sent for this request.
     Served(Buffer),
-    /// A long row, which is passed on while it arrives.
+    /// A long row, which is streamed to the client while it arrives.
     Streamed(StreamedAnswer),
-    /// Not run: a retry is harmless.
+    /// The request did not run, so a retry is harmless.
     Rejected {
-        /// How long the client should wait before it retries; zero for no advice.
+        /// Time that the client is advised to wait before it retries; zero for no advice.
         retry_after: TimeDelta,
     },
-    /// It may have run or not.
+    /// The request failed, and it is unknown whether it ran.
     Failed,
 }
 
-/// A client that waits for its answer, until it has one or is gone.
+/// The answer that a client is waiting for, until it is sent or the client leaves.
 pub(super) struct PendingAnswer {
+    /// `None` once the answer has been sent or the client has left.
     client: Option<oneshot::Sender<Answer>>,
     metrics: Rc<Metrics>,
 }
 
 impl PendingAnswer {
-    /// The client behind this sender waits for its answer.
+    /// Creates a pending answer for the client that holds the receiver of `client`.
     pub(super) fn new(client: oneshot::Sender<Answer>, metrics: Rc<Metrics>) -> Self {
         PendingAnswer {
             client: Some(client),
@@ -40,12 +41,12 @@
         }
     }
 
-    /// Whether the client still waits.
+    /// Returns whether the client is still waiting for its answer.
     pub(super) fn is_pending(&self) -> bool {
         self.client.is_some()
     }
 
-    /// Answers and counts the request, if its client still waits; returns whether it did.
+    /// Sends and counts the answer if the client is still waiting for one. Returns whether it was.
     pub(super) fn send(&mut self, answer: Answer) -> bool {
         let Some(client) = self.client.take() else {
             return false;
@@ -56,17 +57,17 @@
             Answer::Rejected { .. } => &requests.rejected,
             Answer::Failed => &requests.failed,
         });
-        // A client that has left in this moment needs no answer.
+        // Sending fails if the client has just left; it needs no answer then.
         let _ = client.send(answer);
         true
     }
 
-    /// The client is gone: no answer is sent any more.
+    /// Records that the client has left, so that no answer is sent any more.
     pub(super) fn abandon(&mut self) {
         self.client = None;
     }
 
-    /// Completes when the client has left; never, once the request has its answer.
+    /// Waits until the client leaves. Never completes once the answer has been sent or the request has been abandoned.
     pub(super) async fn client_gone(&mut self) {
         match &mut self.client {
             Some(client) => client.closed().await,
@@ -75,7 +76,7 @@
     }
 }
 
-/// The advice of a rejection in whole milliseconds, rounded up; `None` where there is no advice.
+/// Converts the advised wait of a rejection to whole milliseconds, rounded up; `None` if there is no advice.
 pub fn retry_after_milliseconds(retry_after: TimeDelta) -> Option<u128> {
     let nanoseconds = duration(retry_after).as_nanos();
     (retry_after > TimeDelta::ZERO).then(|| nanoseconds.div_ceil(NANOSECONDS_PER_MILLISECOND))
--- a/src/net/request/attempts.rs
+++ b/src/net/request/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request: each runs in a task of its own.
+//! The attempts of one request, each of which runs in its own task.
 
 use crate::net::request::context::RequestContext;
 use crate::net::request::write_intent::WriteIntent;
@@ -14,21 +14,21 @@
 
 /// An attempt that was started.
 pub(super) struct StartedAttempt {
-    /// The member that it goes to.
+    /// Member that the attempt is sent to.
     pub(super) member: MemberId,
     started_at: Instant,
-    /// Its outcome proves that it never ran.
+    /// Whether the outcome of the attempt proves that it never ran; false until it has ended.
     never_ran: bool,
     task: AbortHandle,
 }
 
 impl StartedAttempt {
-    /// Time since it was started.
+    /// Returns the time since the attempt was started.
     pub(super) fn elapsed(&self) -> TimeDelta {
         time_delta(self.started_at.elapsed())
     }
 
-    /// Keeps whether its outcome proves that it never ran.
+    /// Records whether the outcome proves that the attempt never ran.
     pub(super) fn record_outcome(&mut self, outcome: Outcome) {
         self.never_ran = outcome.never_ran();
     }
@@ -36,44 +36,45 @@
 
 /// A long answer that has begun to arrive.
 pub(super) struct StartedStream {
-    /// The number of its attempt.
+    /// Number of the attempt that the answer belongs to.
     pub(super) attempt: usize,
-    /// Its beginning, and the way to the rest.
+    /// The beginning of the answer, and the channel for the rest.
     pub(super) answer: StreamedAnswer,
 }
 
 /// An attempt that has ended.
 pub(super) struct EndedAttempt {
-    /// Its number.
+    /// Number of the attempt.
     pub(super) attempt: usize,
-    /// How it ended.
+    /// Result of the attempt.
     pub(super) result: AttemptResult,
 }
 
-/// What a joined attempt task returns.
+/// Result of joining the task of an attempt.
 pub(super) type JoinedAttempt = Result<(task::Id, AttemptResult), JoinError>;
 
 /// All attempts of one request, numbered from 0 in the order in which they were started.
 pub(super) struct Attempts {
-    /// Those started so far, by their number.
+    /// Attempts that have been started, indexed by their number.
     pub(super) started: Vec<StartedAttempt>,
-    /// Those that have not ended.
+    /// Tasks of the attempts that have not ended.
     pub(super) running: JoinSet<AttemptResult>,
     /// Long answers that have begun to arrive.
     pub(super) streams: UnboundedReceiver<StartedStream>,
     stream_sender: UnboundedSender<StartedStream>,
     statement: Rc<Statement>,
-    /// How long after the first attempt that may have run another one may be sent; `None` for no limit.
+    /// Time from the start of the first attempt that may have run until no further attempt may be sent; `None` for no
+    /// limit.
     resend_window: Option<Duration>,
-    /// Set once the request has its answer: an attempt that is started before that, but whose connection is ready only
-    /// afterwards, is not sent any more.
+    /// Set once the request has been answered or its client has left. An attempt that was started earlier, but whose
+    /// connection is ready only afterwards, is then not sent.
     request_over: Rc<Cell<bool>>,
     write_intent: Option<Rc<WriteIntent>>,
     context: Rc<RequestContext>,
 }
 
 impl Attempts {
-    /// A request of which no attempt has been started.
+    /// Creates the attempts of a request for which none has been started yet.
     pub(super) fn new(
         context: Rc<RequestContext>,
         statement: Statement,
@@ -94,12 +95,12 @@
         }
     }
 
-    /// Sets whether the request is over: nothing is sent for it from then on.
+    /// Sets whether the request is finished. While it is, no attempt is sent.
     pub(super) fn set_request_over(&self, over: bool) {
         self.request_over.set(over);
     }
 
-    /// Starts an attempt, which ends after `timeout` at the latest.
+    /// Starts an attempt, which ends `timeout` from now at the latest.
     pub(super) fn start(&mut self, member: MemberId, timeout: TimeDelta) {
         let attempt = AttemptTask {
             context: Rc::clone(&self.context),
@@ -121,8 +122,8 @@
         });
     }
 
-    /// Until when another attempt may be sent. The router decides within the resend window, but the connection of the
-    /// attempt may be ready only after the window's end.
+    /// Returns the time until which another attempt may be sent; `None` for no limit. It is checked when the connection
+    /// is ready: the router starts attempts within the resend window, but a connection may be ready only after its end.
     fn resend_deadline(&self) -> Option<Instant> {
         let may_have_run = self.started.iter().filter(|attempt| !attempt.never_ran);
         let first = may_have_run.map(|attempt| attempt.started_at).min();
@@ -130,14 +131,14 @@
         window.map(|(window, first)| first + window)
     }
 
-    /// Stops waiting for an attempt.
+    /// Aborts the task of an attempt.
     pub(super) fn cancel(&self, attempt: u32) {
         if let Some(attempt) = self.started.get(attempt as usize) {
             attempt.task.abort();
         }
     }
 
-    /// The attempt that a joined task ran. A task that was aborted ends as cancelled.
+    /// Returns the attempt that a joined task ran, with its result. An aborted task counts as cancelled.
     pub(super) fn ended(&self, joined: JoinedAttempt) -> Option<EndedAttempt> {
         let (task, result) = match joined {
             Ok((task, result)) => (task, result),
@@ -151,7 +152,7 @@
     }
 }
 
-/// One attempt, as its task runs it.
+/// The parameters of an attempt that its task runs with.
 struct AttemptTask {
     context: Rc<RequestContext>,
     statement: Rc<Statement>,
@@ -160,28 +161,28 @@
     write_intent: Option<Rc<WriteIntent>>,
     number: usize,
     member: MemberId,
-    /// The attempt ends after this time at the latest.
+    /// Time from the start of the attempt to its latest end.
     timeout: TimeDelta,
-    /// It is not sent after this time.
+    /// The attempt is not sent after this time; `None` for no limit.
     send_by: Option<Instant>,
 }
 
 impl AttemptTask {
-    /// Runs the attempt.
+    /// Records the write intent where there is one, then sends the statement and waits for the result.
     async fn run(self) -> AttemptResult {
-        // The router gets the end of each attempt that it started, also of those that were not sent.
+        // The router needs a result for each attempt that it started, so one that is not sent returns a result too.
         if self.request_over.get() {
             return Outcome::NotSent.into();
         }
         let asked_at = Instant::now();
         if let Some(write_intent) = &self.write_intent {
-            // A gateway that knows nothing of a write would send it again after its resend window: so it is not sent
-            // before other gateways have recorded it.
+            // The write is sent only after other gateways have recorded its intent. A gateway without that record would
+            // send a retry of the write even after the resend window.
             if !write_intent.record().await {
                 return Outcome::NotSent.into();
             }
         }
-        // The timeout includes the time that it took to record the write intent.
+        // The time that recording the write intent took counts towards the timeout.
         let timeout = self.timeout - time_delta(asked_at.elapsed());
         let outgoing = OutgoingStatement {
             member: self.member,
@@ -193,7 +194,7 @@
                 attempt: self.number,
                 answer,
             };
-            // A request that is over takes no stream, which ends the stream.
+            // Sending fails if the request has ended; dropping the answer then ends the stream.
             let _ = self.stream_sender.send(stream);
         };
         let upstream = &self.context.upstream;
@@ -202,7 +203,7 @@
             .await
     }
 
-    /// Whether it may still be sent, once its connection is ready.
+    /// Returns whether the attempt may still be sent; asked when its connection is ready.
     fn may_be_sent(&self) -> bool {
         let in_time = |send_by| Instant::now() < send_by;
         !self.request_over.get() && self.send_by.is_none_or(in_time)
--- a/src/net/request/classes.rs
+++ b/src/net/request/classes.rs
@@ -1,7 +1,8 @@
-//! The request classes: as new requests find them by name, and as the requests in flight still know them.
+//! The request classes: those of the newest settings, by name, and older ones that requests in flight still use.
 //!
-//! Each class has a slot, which is its number in the router's settings. New settings never move a class that some
-//! request is in: what they change takes a free slot, and a slot is free once no name finds it and no request holds it.
+//! Each class has a slot, which is its index in the router's settings. New settings never change the slot of a class
+//! that a request in flight uses: a changed or new class takes a free slot. A slot is free once no class name refers to
+//! it and no request holds it.
 
 use crate::net::duration;
 use irisrouter::platform_settings::PlatformSettings;
@@ -11,33 +12,33 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A class in its slot. A request holds its own until it is over.
+/// A class and its slot. A request holds the handle of its class until it is finished.
 pub struct ClassHandle {
-    /// Its number in the router's settings.
+    /// Index of the class in the router's settings.
     pub slot: usize,
     /// The class.
     pub class: RequestClass,
 }
 
-/// All classes, and the settings that the router has.
+/// All classes, and the settings that the router uses.
 pub struct Classes {
-    /// By slot. A slot that no name finds keeps its last class until it is used again.
+    /// Handles by slot. A slot that no class name refers to keeps its last class until it is reused.
     slots: RefCell<Vec<Rc<ClassHandle>>>,
-    /// The classes of the newest settings.
+    /// Classes of the newest settings, by name.
     by_name: RefCell<HashMap<String, Rc<ClassHandle>>>,
     settings: RefCell<Settings>,
 }
 
-/// A class of new settings that is not the same as before.
+/// A class of new settings that is new, or that differs from the class that had its name before.
 struct ChangedClass<'a> {
     name: &'a str,
     class: &'a RequestClass,
-    /// The slot of the class that had this name before.
+    /// Slot of the class that had this name before; `None` if there was none.
     previous_slot: Option<usize>,
 }
 
 impl Classes {
-    /// The classes of these settings, each in the slot of its number.
+    /// Creates the classes of these settings, each in the slot of its index there.
     pub fn new(loaded: &PlatformSettings) -> Self {
         let classes = Classes {
             slots: RefCell::default(),
@@ -48,12 +49,12 @@
         classes
     }
 
-    /// The class of a new request with this class name.
+    /// Returns the class of this name in the newest settings, for a new request.
     pub fn find(&self, name: &str) -> Option<Rc<ClassHandle>> {
         self.by_name.borrow().get(name).cloned()
     }
 
-    /// The name of the class in each slot; empty where the newest settings have none there.
+    /// Returns the name of the class in each slot; an empty one if no class of the newest settings is in the slot.
     pub fn names(&self) -> Vec<String> {
         let mut names = vec![String::new(); self.slots.borrow().len()];
         for (name, handle) in self.by_name.borrow().iter() {
@@ -62,22 +63,24 @@
         names
     }
 
-    /// The settings as the router has them.
+    /// Returns the settings that the router uses, with the classes by slot.
     pub fn settings(&self) -> Ref<'_, Settings> {
         self.settings.borrow()
     }
 
-    /// The longest deadline that a new request can have.
+    /// Returns the longest deadline of the classes that new requests can have.
     pub fn longest_wait(&self) -> Duration {
         longest_deadline(self.by_name.borrow().values())
     }
 
-    /// The longest deadline of a request in flight, which may be in a class that the settings no longer have.
+    /// Returns the longest deadline of the classes in all slots. Requests in flight may be in a class that the newest
+    /// settings no longer have.
     pub fn longest_wait_held(&self) -> Duration {
         longest_deadline(self.slots.borrow().iter())
     }
 
-    /// Takes new settings. Returns for each slot the one whose estimates it goes on from, if there is one.
+    /// Applies new settings. Returns, for each slot, the previous slot whose estimates its class inherits; `None` if it
+    /// inherits none.
     pub fn swap(&self, loaded: &PlatformSettings) -> Vec<Option<usize>> {
         let mut slots = self.slots.borrow_mut();
         let mut by_name = self.by_name.borrow_mut();
@@ -95,7 +98,7 @@
                 }),
             }
         }
-        // Before slots are looked for: what only the old names held is free.
+        // Dropped before free slots are searched, so that slots which only the old names held count as free.
         drop(old);
         for changed in changed {
             let slot = free_slot(&slots);
@@ -121,7 +124,7 @@
     }
 }
 
-/// The first slot that no name finds and no request holds, or the one behind the last.
+/// Returns the first slot that no class name refers to and no request holds, or a new one after the last.
 fn free_slot(slots: &[Rc<ClassHandle>]) -> usize {
     slots
         .iter()
--- a/src/net/request/context.rs
+++ b/src/net/request/context.rs
@@ -1,4 +1,4 @@
-//! What all requests share, and the request as the downstream creates it.
+//! The state that all requests share, and the request as the downstream creates it.
 
 use crate::net::cluster::site_failover::SiteFailoverService;
 use crate::net::cluster::write_intents::WriteIntentService;
@@ -16,54 +16,54 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// The last times of a gateway that is shutting down.
+/// Deadlines of a gateway that is shutting down.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownDeadlines {
-    /// Every request has its answer by then. Those that come later are rejected at once.
+    /// Time by which every request is answered. Requests that arrive later are rejected at once.
     pub answer_by: Instant,
-    /// From then on clients are not read any more, so that their connections end before the process is killed.
+    /// Time from which on nothing is read from clients, so that their connections end before the process is killed.
     pub read_until: Instant,
 }
 
-/// What the requests share.
+/// State that all requests share.
 pub struct RequestContext {
-    /// The way to the router.
+    /// Handle to the router task.
     pub router: Rc<RouterHandle>,
     /// The database hosts.
     pub upstream: Rc<Upstream>,
-    /// The clock that positions of database hosts are compared with.
+    /// Clock that the log positions of database hosts are compared with.
     pub clock: Clock,
     /// The counters.
     pub metrics: Rc<Metrics>,
-    /// The last times of a shutdown, once the gateway is shutting down.
+    /// Deadlines of the shutdown; `None` until the gateway is shutting down.
     pub shutdown: watch::Sender<Option<ShutdownDeadlines>>,
-    /// Write intents, where the operators have enabled them.
+    /// Write intents; `None` unless the operators have enabled them.
     pub write_intents: Option<Rc<WriteIntentService>>,
-    /// Site failover, where the operators have enabled it.
+    /// Site failover; `None` unless the operators have enabled it.
     pub site_failover: Option<Rc<SiteFailoverService>>,
-    /// Ids of the requests that are not over.
+    /// Ids of the open requests.
     pub open_ids: RefCell<HashSet<Box<str>>>,
 }
 
 impl RequestContext {
-    /// Whether the gateway is shutting down and the time for answers is over.
+    /// Returns whether the gateway is shutting down and its deadline for answers has passed.
     pub fn answers_are_overdue(&self) -> bool {
         let now = Instant::now();
         let deadlines = *self.shutdown.borrow();
         deadlines.is_some_and(|deadlines| deadlines.answer_by <= now)
     }
 
-    /// Whether the gateway is shutting down and reads no more requests.
+    /// Returns whether the gateway is shutting down and no longer reads requests.
     pub fn reading_is_over(&self) -> bool {
         let now = Instant::now();
         let deadlines = *self.shutdown.borrow();
         deadlines.is_some_and(|deadlines| deadlines.read_until <= now)
     }
 
-    /// Reserves an id; `None` while another open request has it.
+    /// Reserves an id. Returns `None` while another open request has it.
     ///
-    /// A database host takes a second request of the same id for a retry of the first, and would answer it with the
-    /// row of another client.
+    /// Otherwise a database host would treat the second request as a retry of the first, and answer it with the row of
+    /// another client.
     pub fn reserve_id(self: &Rc<Self>, id: &str) -> Option<OpenId> {
         let is_new = self.open_ids.borrow_mut().insert(id.into());
         is_new.then(|| OpenId {
@@ -87,22 +87,22 @@
 
 /// A request, as the downstream creates it from what its client sent.
 pub struct ClientRequest {
-    /// Its id.
+    /// Id of the request.
     pub id: OpenId,
-    /// Its class, which it keeps until it is over, whatever new settings say.
+    /// Class of the request, which stays the same until the request is finished even if the settings change.
     pub class: Rc<ClassHandle>,
-    /// The group of hosts that it is for.
+    /// Group of hosts that the request is sent to.
     pub group: GroupId,
-    /// Its session, in classes whose freshness depends on one.
+    /// Session of the request, in classes whose freshness depends on one.
     pub session: Option<SessionId>,
-    /// How long its client waits for the answer, from now on.
+    /// Time from now until the client stops waiting for the answer.
     pub timeout: Duration,
-    /// The commit position that its answer must include, as Unix time.
+    /// Log position, as Unix time, up to which the answer must include all commits.
     pub minimum_position: Option<Timestamp>,
-    /// The client marked it as a retry.
+    /// Whether the client marked the request as a retry.
     pub retry: bool,
-    /// Its idempotency key, in a keyed class.
+    /// Hash of the idempotency key, in a keyed class.
     pub idempotency_key: Option<KeyHash>,
-    /// The statement that is sent to a database host.
+    /// Statement that is sent to a database host.
     pub statement: Statement,
 }
--- a/src/net/request/earlier_attempts.rs
+++ b/src/net/request/earlier_attempts.rs
@@ -1,4 +1,5 @@
-//! Before a keyed write is routed: whether another gateway may have sent it already, and until when it may be sent again.
+//! The check before a keyed write is routed: whether another gateway may have sent the write already, and if so, until
+//! when it may be sent again.
 
 use crate::net::cluster::write_intents::{EarlierAttempt, WriteIntentService};
 use crate::net::request::context::{ClientRequest, RequestContext};
@@ -7,22 +8,22 @@
 use irisrouter_write_intents::KeyHash;
 use tokio::time::{timeout_at, Instant};
 
-/// A request that may be routed.
+/// A request that has passed the check and may be routed.
 pub(super) struct CheckedRequest {
-    /// The write intent that is recorded before an attempt is sent; `None` for what is no keyed write, and where write
-    /// intents are off.
+    /// Write intent that is recorded before an attempt is sent; `None` if the request is not a keyed write or write
+    /// intents are disabled.
     pub(super) write_intent: Option<WriteIntent>,
-    /// When its answer is due.
+    /// Time at which the answer is due.
     pub(super) deadline: Instant,
 }
 
 impl RequestContext {
-    /// Looks up the earlier attempts of a keyed write, where write intents are on. The deadline becomes earlier where
-    /// another gateway may have sent it.
+    /// Looks up earlier attempts of a keyed write if write intents are enabled. If another gateway may have sent the
+    /// write, the deadline is no later than the time until which the write may be sent again.
     ///
     /// # Errors
     ///
-    /// Another gateway may have sent it, and it can't be sent again.
+    /// Another gateway may have sent the write, and it can't be sent again.
     pub(super) async fn check_earlier_attempts(
         &self,
         request: &ClientRequest,
@@ -49,8 +50,8 @@
                 &request.class.class,
                 self.upstream.connect_timeout(),
             )?,
-            // Where clients do not mark their retries, any write may be one, and a fleet that has just started could
-            // prove nothing: it would reject every write.
+            // This happens only where clients do not mark their retries, so that every write may be a retry. A fleet
+            // that has just started can prove nothing about earlier attempts, and would fail every write.
             EarlierAttempt::Unproven if !request.retry => deadline,
             EarlierAttempt::Unproven => return Err(ResendError::Unproven),
         };
@@ -61,8 +62,8 @@
     }
 }
 
-/// What other gateways know of earlier attempts of a write. The look-up ends before the client's own deadline; what is not
-/// proven by then may have run.
+/// Asks other gateways for earlier attempts of a write. The look-up ends [`ANSWER_MARGIN`] before the client's
+/// deadline; without a result by then, it is unproven whether the write has run.
 async fn look_up(
     write_intents: &WriteIntentService,
     key: KeyHash,
--- a/src/net/request/lifecycle.rs
+++ b/src/net/request/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The life of one request: arrival, attempts, final answer. Downstreams of any protocol describe their requests as a
-//! [`ClientRequest`], and all of them go through the same decisions and rules.
+//! The lifecycle of one request: arrival, attempts, final answer. Downstreams of any protocol describe their requests
+//! as a [`ClientRequest`], and all requests go through the same decisions and rules.
 
 use crate::net::metrics::increment;
 use crate::net::request::answer::{Answer, PendingAnswer};
@@ -18,18 +18,19 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{sleep_until, Instant};
 
-/// The router's deadline is this much before the client's: timers are late by up to a millisecond, and the router's
-/// decision has to be made and the answer written.
+/// Time from the router's deadline to the client's. It leaves time for timers, which fire up to a millisecond late, for
+/// the router's decision and for writing the answer.
 const DECISION_MARGIN: Duration = Duration::from_millis(5);
-/// A request that has no decision this long before its client's deadline fails. It is less than [`DECISION_MARGIN`]: were
-/// both times the same, requests would fail here that the router would have rejected as not run.
+/// Time before the client's deadline at which a request without a decision fails. It is less than [`DECISION_MARGIN`],
+/// because otherwise requests would fail here that the router would have rejected as not run.
 pub(super) const ANSWER_MARGIN: Duration = Duration::from_millis(1);
-/// The router has at least this long for its decision, also on a request that has no time left: it rejects that as not
-/// run.
+/// Minimum time that the router has for its decision, even if the request's deadline has passed, so that the router can
+/// reject such a request as not run.
 const MIN_DECISION_TIME: Duration = Duration::from_millis(20);
 
 impl RequestContext {
-    /// Takes a request and gives it exactly one answer. A client that leaves drops the receiver of the answer.
+    /// Serves a request: sends exactly one answer, unless the client drops the receiver of the answer, which means that
+    /// it has left.
     pub async fn serve(self: Rc<Self>, request: ClientRequest, answer: oneshot::Sender<Answer>) {
         increment(&self.metrics.requests.received);
         if let Some(site_failover) = &self.site_failover {
@@ -45,7 +46,8 @@
         }
     }
 
-    /// When a client with this timeout needs its answer: earlier where the gateway is shutting down.
+    /// Returns the time by which a client with this timeout needs its answer. It is not later than the shutdown's
+    /// deadline for answers.
     fn answer_deadline(&self, timeout: Duration) -> Instant {
         let until_shutdown = self.shutdown.borrow().map(|deadlines| {
             deadlines
@@ -56,29 +58,29 @@
     }
 }
 
-/// A request that the router has been asked about.
+/// A request that has been posted to the router.
 struct Lifecycle {
     context: Rc<RequestContext>,
-    /// Its id at the router.
+    /// Id of the request at the router.
     id: RequestId,
-    /// What the router decides.
+    /// Commands of the router for this request.
     commands: mpsc::UnboundedReceiver<RequestCommand>,
     answer: PendingAnswer,
     attempts: Attempts,
-    /// The number of the attempt whose long answer is passed on.
+    /// Number of the attempt whose long answer is being streamed to the client.
     streaming: Option<usize>,
     write_intent: Option<Rc<WriteIntent>>,
-    /// The request fails if the router has not decided by then.
+    /// Time at which the request fails if the router has not decided.
     decision_deadline: Instant,
-    /// Tells when answers are due earlier, as the gateway is shutting down; `None` for a request that came after that was
-    /// known, and whose deadline takes it into account.
+    /// Receives the shutdown deadlines once the gateway shuts down, because answers may then be due earlier. `None` if
+    /// the shutdown had begun when the request arrived: its deadline takes the shutdown into account already.
     shutdown: Option<watch::Receiver<Option<ShutdownDeadlines>>>,
-    // Both are held until the last attempt has ended.
+    // The id and the class are held until the last attempt has ended.
     _open_id: OpenId,
     _class: Rc<ClassHandle>,
 }
 
-/// What happens next in the life of a request.
+/// An event in the lifecycle of a request.
 enum Step {
     /// A long answer has begun to arrive.
     StreamStarted(StartedStream),
@@ -86,24 +88,24 @@
     AttemptEnded(JoinedAttempt),
     /// The client has left.
     ClientGone,
-    /// The router has decided.
+    /// The router has sent a command.
     Command(RequestCommand),
     /// The router has not decided in time.
     DecisionTimedOut,
 }
 
-/// The end of an attempt, as the router is informed of it.
+/// The end of an attempt, as it is posted to the router.
 struct AttemptEnd {
     attempt: usize,
     member: MemberId,
     outcome: Outcome,
-    /// Time since it was started.
+    /// Time from the start of the attempt to its end.
     elapsed: TimeDelta,
     status: Option<ReplicationStatus>,
 }
 
 impl Lifecycle {
-    /// Asks the router about the request.
+    /// Registers the request and posts it to the router.
     fn begin(
         context: Rc<RequestContext>,
         request: ClientRequest,
@@ -147,7 +149,7 @@
         }
     }
 
-    /// Runs until the request has its answer and its last attempt has ended.
+    /// Runs until the answer has been sent or the client has left, and the last attempt has ended.
     async fn run(mut self) {
         while self.answer.is_pending() || !self.attempts.running.is_empty() {
             self.attempts.set_request_over(!self.answer.is_pending());
@@ -170,25 +172,26 @@
         self.context.router.unregister(self.id);
     }
 
-    /// Waits for what happens next. What is ready at the same time is taken in this order.
+    /// Waits for the next event. Of the events that are ready at the same time, the one listed first is returned.
     async fn next_step(&mut self) -> Step {
         let pending = self.answer.is_pending();
         tokio::select! {
             biased;
-            // From here on only the rest of the answer is outstanding: no further attempt and no deadline.
+            // First, because once a stream has begun no further attempt is needed and no deadline applies.
             Some(stream) = self.attempts.streams.recv() => Step::StreamStarted(stream),
             Some(joined) = self.attempts.running.join_next_with_id() => Step::AttemptEnded(joined),
-            // Before the router's commands: nothing is started for a client that has left.
+            // Before the router's commands, so that no attempt is started for a client that has left.
             () = self.answer.client_gone() => Step::ClientGone,
             Some(command) = self.commands.recv() => Step::Command(command),
-            // A request must not stay without an answer if the router does not decide in time.
+            // Last resort, so that the client gets an answer even if the router does not decide in time.
             () = decision_timeout(&mut self.shutdown, self.decision_deadline), if pending => {
                 Step::DecisionTimedOut
             }
         }
     }
 
-    /// The request is over but for the rest of its answer. A stream that begins after the answer is dropped, which ends it.
+    /// Answers the request with the stream. If the request has already been answered, the stream is dropped, which ends
+    /// it.
     fn on_stream_started(&mut self, stream: StartedStream) {
         let StartedStream { attempt, answer } = stream;
         if !self.answer.send(Answer::Streamed(answer)) {
@@ -211,7 +214,7 @@
             write_intent.attempt_ended(result.outcome);
         }
         if self.streaming == Some(attempt) {
-            // The router got the end of this attempt when its stream began.
+            // The end of this attempt was posted to the router when its stream began.
             if result.outcome != Outcome::Ok {
                 increment(&self.context.metrics.requests.truncated);
             }
@@ -219,7 +222,7 @@
         }
         self.attempts.started[attempt].record_outcome(result.outcome);
         if result.outcome == Outcome::Cancelled {
-            // The upstream counts an attempt when it ends; an attempt that was aborted does not get that far.
+            // `Upstream::attempt` counts an attempt when it returns, which it does not do for an aborted attempt.
             self.context.metrics.record_attempt(Outcome::Cancelled);
         }
         if let Some(row) = result.row {
@@ -254,7 +257,8 @@
         }
     }
 
-    /// Rejects the request as not run. What another gateway sent may have run, though, whatever this gateway did.
+    /// Rejects the request as not run. If another gateway may have sent the write, the request fails instead, because
+    /// it may have run there.
     fn reject(&mut self, retry_after: TimeDelta) {
         let write_intent = self.write_intent.as_ref();
         let may_have_run = write_intent.is_some_and(|intent| intent.sent_by_another_gateway());
@@ -271,8 +275,8 @@
         self.context.router.post(Event::ClientGone { id: self.id });
     }
 
-    /// Ends the attempts that the router started before it was informed that the request is over: the router gets an end
-    /// for each attempt.
+    /// Posts an end for each attempt whose start command was not executed, because the router needs the end of every
+    /// attempt that it started.
     fn end_undelivered_attempts(&mut self) {
         self.commands.close();
         while let Ok(command) = self.commands.try_recv() {
@@ -288,7 +292,7 @@
         }
     }
 
-    /// Informs the router of the end of an attempt, and whether the request is over with it.
+    /// Posts the end of an attempt to the router, and whether the request is finished.
     fn post_attempt_ended(&self, end: AttemptEnd) {
         self.context.router.post(Event::AttemptEnded {
             id: self.id,
@@ -303,15 +307,16 @@
     }
 }
 
-/// The notice of a shutdown that has not begun; `None` where it has.
+/// Subscribes to the shutdown deadlines. Returns `None` if the shutdown has already begun.
 fn shutdown_notice(context: &RequestContext) -> Option<watch::Receiver<Option<ShutdownDeadlines>>> {
     let notice = context.shutdown.subscribe();
     let is_known = notice.borrow().is_some();
     (!is_known).then_some(notice)
 }
 
-/// Returns at the deadline of a decision, or earlier where a shutdown begins that needs the answer earlier: else it would
-/// come after the process is killed, and those to the requests behind it likewise.
+/// Waits until the deadline of a decision, or until the shutdown's deadline for answers where that is earlier.
+/// Otherwise this answer, and those to the requests that are queued behind it, would be due only after the process is
+/// killed.
 async fn decision_timeout(
     shutdown: &mut Option<watch::Receiver<Option<ShutdownDeadlines>>>,
     deadline: Instant,
@@ -334,7 +339,7 @@
     }
 }
 
-/// How long after an attempt that may have run another one may be sent; `None` for no limit.
+/// Returns the time from the first attempt that may have run until no further attempt may be sent; `None` for no limit.
 fn resend_window(class: &RequestClass) -> Option<Duration> {
     match class.idempotency {
         Idempotency::Keyed { window, .. } => Some(duration(window)),
--- a/src/net/request/write_intent.rs
+++ b/src/net/request/write_intent.rs
@@ -1,4 +1,4 @@
-//! A keyed write, and what is recorded of it with other gateways.
+//! The write intent of a keyed write, which is recorded at other gateways before the write is sent.
 
 use crate::net::cluster::write_intents::WriteIntentService;
 use crate::net::{duration, unix_milliseconds};
@@ -11,21 +11,23 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// With less than this left of its window a write is not sent again: deciding on it needs a moment.
+/// Minimum remaining part of the resend window for a write to be sent again, because the decision takes time too.
 const MIN_TIME_TO_RESEND: Duration = Duration::from_millis(5);
 
-/// Why a keyed write is not sent: it may have run at another gateway. The client is told no more than that.
+/// The reason why a keyed write that may have run at another gateway is not sent. The client gets the same answer in
+/// either case.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ResendError {
-    /// Another gateway may have sent the write, and the time in which hosts discard a repeat is over or nearly so.
+    /// Another gateway may have sent the write, and the time in which hosts discard a repeated write has passed or is
+    /// about to.
     #[error("the write may have run at another gateway, and its resend window is over")]
     WindowOver,
-    /// Too few of the gateways that would know of another attempt have answered.
+    /// Too few of the gateways that would have a record of an earlier attempt have answered.
     #[error("too few gateways answered whether the write may have run")]
     Unproven,
 }
 
-/// Whether a write has been recorded with its replicas.
+/// Whether the write intent has been recorded at its replicas.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RecordState {
     NotTried,
@@ -33,11 +35,11 @@
     Recorded,
 }
 
-/// A keyed write, and what is recorded of it with other gateways.
+/// The write intent of a keyed write, and what is known of the write's attempts.
 pub(super) struct WriteIntent {
     write_intents: Rc<WriteIntentService>,
     key: KeyHash,
-    /// From when on an earlier attempt of another gateway may have run.
+    /// Time from which on an earlier attempt of another gateway may have run; `None` if there is no such attempt.
     earlier_attempt: Option<UnixMilliseconds>,
     record_state: Cell<RecordState>,
     /// Whether an attempt of this gateway may have run.
@@ -45,7 +47,7 @@
 }
 
 impl WriteIntent {
-    /// A write that has not been recorded yet.
+    /// Creates the intent of a write, which has not been recorded yet.
     pub(super) fn new(write_intents: &Rc<WriteIntentService>, key: KeyHash) -> Self {
         WriteIntent {
             write_intents: Rc::clone(write_intents),
@@ -56,12 +58,12 @@
         }
     }
 
-    /// Until when the write may be sent again, after an attempt of another gateway that may have run from `first_sent_at`
-    /// on.
+    /// Records that an attempt of another gateway may have run from `first_sent_at` on. Returns the time until which
+    /// the write may be sent again.
     ///
     /// # Errors
     ///
-    /// [`ResendError::WindowOver`]: that time is over.
+    /// [`ResendError::WindowOver`] if that time has passed or is less than [`MIN_TIME_TO_RESEND`] away.
     pub(super) fn resend_deadline(
         &mut self,
         first_sent_at: UnixMilliseconds,
@@ -75,12 +77,13 @@
         Ok(Instant::now() + remaining)
     }
 
-    /// Whether another gateway may have sent the write.
+    /// Returns whether another gateway may have sent the write.
     pub(super) const fn sent_by_another_gateway(&self) -> bool {
         self.earlier_attempt.is_some()
     }
 
-    /// Records the write before an attempt is sent, unless it is recorded already. Returns whether it is recorded.
+    /// Records the intent, unless it is already recorded. Called before an attempt is sent. Returns whether the intent
+    /// is recorded.
     pub(super) async fn record(&self) -> bool {
         if self.record_state.get() == RecordState::Recorded {
             return true;
@@ -92,18 +95,19 @@
         if self.write_intents.record(self.key, first_sent_at).await {
             self.record_state.set(RecordState::Recorded);
         }
-        // Another attempt may have recorded it meanwhile.
+        // Another attempt of this request may have recorded the intent in the meantime.
         self.record_state.get() == RecordState::Recorded
     }
 
-    /// An attempt has ended.
+    /// Records the outcome of an attempt of this gateway.
     pub(super) fn attempt_ended(&self, outcome: Outcome) {
         if !outcome.never_ran() {
             self.may_have_run.set(true);
         }
     }
 
-    /// All attempts have ended. The intent of a write that never ran is withdrawn.
+    /// Withdraws the intent if it may have been recorded and no attempt of this gateway may have run. Called when all
+    /// attempts have ended.
     pub(super) fn all_attempts_ended(&self) {
         let recorded_somewhere = self.record_state.get() != RecordState::NotTried;
         if recorded_somewhere && !self.may_have_run.get() {
@@ -112,8 +116,9 @@
     }
 }
 
-/// What is left of a write's window, which counts from its first attempt; `None` where it is over, or the class has none.
-/// What is sent at the window's end still needs a connection.
+/// Returns the remaining part of a write's resend window, which begins with the first attempt. `None` if the window has
+/// passed or the class has none. The connect timeout is subtracted, because a write that is sent at the end of the
+/// window may still have to wait for a connection.
 fn remaining_window(
     first_sent_at: UnixMilliseconds,
     class: &RequestClass,
--- a/src/net/router_task.rs
+++ b/src/net/router_task.rs
@@ -1,6 +1,7 @@
 //! The task that owns the [`Router`]: it feeds the router with events and carries out its actions.
 //!
-//! Events are posted when they happen; those that are ready together enter the router in one batch.
+//! Tasks post events as they happen; the router processes all events that are queued when its task wakes up as one
+//! batch.
 
 use crate::net::upstream::Upstream;
 use crate::net::{duration, Clock};
@@ -12,62 +13,62 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::{sleep_until, Instant};
 
-/// What the router wants done for one request.
+/// A command from the router to the task of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestCommand {
     /// Start an attempt.
     StartAttempt {
-        /// The member that it goes to.
+        /// Member that the attempt is sent to.
         member: MemberId,
-        /// Its timeout.
+        /// Timeout of the attempt.
         timeout: TimeDelta,
     },
     /// Stop waiting for an attempt.
     CancelAttempt {
-        /// Its number, from 0.
+        /// Number of the attempt, counted from 0.
         attempt: u32,
     },
-    /// Final answer: a retry is harmless.
+    /// Send the final answer that the request did not run, so that a retry is harmless.
     Reject {
-        /// Time that the client should wait before it retries; zero for no advice.
+        /// Time that the client is advised to wait before it retries; zero for no advice.
         retry_after: TimeDelta,
     },
-    /// Final answer: whether it ran is unknown.
+    /// Send the final answer that the request failed and may have run.
     Fail,
 }
 
 /// A request that the router may send commands for.
 pub struct RegisteredRequest {
-    /// Its id in events and actions.
+    /// Id of the request in events and actions.
     pub id: RequestId,
-    /// What the router wants done for it, in order.
+    /// Commands of the router for this request, in order.
     pub commands: UnboundedReceiver<RequestCommand>,
 }
 
-/// The way to the router: events in, commands out.
+/// Handle to the router task: accepts events for the router and delivers its commands to the requests.
 ///
-/// It is shared by the router task and by all tasks that post events. All of them run on one thread and no borrow lasts
-/// across an await, so cells are enough.
+/// The router task and all tasks that post events share it. All of them run on one thread and no borrow is held across
+/// an await, so `Cell` and `RefCell` are sufficient.
 #[derive(Default)]
 pub struct RouterHandle {
-    /// Posted and not yet taken by the router task, in order.
+    /// Events that were posted and that the router task has not taken yet, in order.
     events: RefCell<Vec<Event>>,
     /// Wakes the router task.
     ready: Notify,
-    /// The commands of each request that is not over.
+    /// Command channel of each registered request.
     requests: RefCell<HashMap<RequestId, UnboundedSender<RequestCommand>>>,
     next_request: Cell<u64>,
     snapshot_requests: RefCell<Vec<oneshot::Sender<RoutingSnapshot>>>,
 }
 
 impl RouterHandle {
-    /// Posts an event; it enters the router with the next batch.
+    /// Posts an event, which the router processes in its next batch.
     pub fn post(&self, event: Event) {
         self.events.borrow_mut().push(event);
         self.ready.notify_one();
     }
 
-    /// What the router has learnt; nothing, if its task has ended.
+    /// Returns a snapshot of what the router has observed; an empty one if the router task has ended.
     pub async fn snapshot(&self) -> RoutingSnapshot {
         let (sender, snapshot) = oneshot::channel();
         self.snapshot_requests.borrow_mut().push(sender);
@@ -75,7 +76,7 @@
         snapshot.await.unwrap_or_default()
     }
 
-    /// Gives a new request its id, and a queue for the commands for it.
+    /// Registers a new request: assigns its id and opens its command channel.
     pub fn register(&self) -> RegisteredRequest {
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0 + 1);
@@ -84,18 +85,18 @@
         RegisteredRequest { id, commands }
     }
 
-    /// Ends the commands for a request that is over.
+    /// Removes a finished request, so that no further command is sent to it.
     pub fn unregister(&self, id: RequestId) {
         self.requests.borrow_mut().remove(&id);
     }
 
-    /// Requests that are not over, including answered ones with attempts in flight.
+    /// Returns the number of registered requests, including answered ones that still have attempts in flight.
     pub fn open_requests(&self) -> usize {
         self.requests.borrow().len()
     }
 
     fn deliver(&self, id: RequestId, command: RequestCommand) {
-        // A request that is over takes no commands: its task has posted the end of each attempt.
+        // Commands for an unregistered request are dropped: its task has already posted the end of each attempt.
         if let Some(commands) = self.requests.borrow().get(&id) {
             let _ = commands.send(command);
         }
@@ -132,14 +133,14 @@
         }
         for action in router.batch(clock.now(), &events) {
             if let Some(requested) = carry_out(action, &handle, &upstream) {
-                // Only the earliest timer is kept: the router asks again at each of them while it needs one.
+                // Only the earliest timer is kept: each time a timer fires, the router sets another one if it needs it.
                 timer = Some(timer.map_or(requested, |set| set.min(requested)));
             }
         }
     }
 }
 
-/// Carries out one action; returns the timer that it asks for.
+/// Executes one action. Returns the time of the timer that the action sets, if it sets one.
 fn carry_out(
     action: Action,
     handle: &Rc<RouterHandle>,
@@ -166,7 +167,7 @@
             });
         }
         Action::SetTimer { after } => return Some(Instant::now() + duration(after)),
-        // The endpoint list is watched from the start.
+        // Nothing to do: the endpoint list is watched from startup on.
         Action::WatchEndpoints => {}
     }
     None
