--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a request: a statement is sent to a host, and the outcome says what is proven of it.
+//! One attempt of a request: a statement is sent to a host, and the outcome says whether it ran or may have run.
 
 use crate::net::buffers::Buffer;
 use crate::net::pg::{self, code, Reply};
@@ -11,34 +11,35 @@
 use std::ops::Range;
 use tokio::time::Instant;
 
-/// The bytes of a query message besides its statement: type, length and terminator, rounded up.
+/// Size of a query message without its statement, in bytes: type, length and terminator, rounded up.
 const QUERY_OVERHEAD: usize = 16;
 
-/// A request's statement. It is sent byte for byte but for the time that is left for it.
+/// The statement of a request. It is sent unchanged, except that its timeout is replaced by the remaining time.
 pub struct Statement {
-    /// Its text.
+    /// Text of the statement.
     pub text: Buffer,
-    /// Where the text holds the milliseconds that its sender will wait.
+    /// Range of the text that holds the timeout in milliseconds.
     pub timeout_range: Range<usize>,
 }
 
 /// A statement that is to be sent to a host.
 pub struct OutgoingStatement<'a> {
-    /// The host.
+    /// Host that the statement is sent to.
     pub member: MemberId,
-    /// The statement.
+    /// Statement to send.
     pub statement: &'a Statement,
-    /// When its reply has to be there, or a long one has to have begun.
+    /// Time by which the reply must have arrived; a long reply must have begun by then.
     pub deadline: Instant,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// What the reply says of its host.
+    /// Replication status of the host, where the reply contains it.
     pub status: Option<ReplicationStatus>,
-    /// The messages of the row, as the host sent them; only with [`Outcome::Ok`], and not where they were passed on.
+    /// Messages of the row, as the host sent them. Present only with [`Outcome::Ok`], and only if the row was not
+    /// streamed to the client.
     pub row: Option<Buffer>,
 }
 
@@ -53,9 +54,9 @@
 }
 
 impl Upstream {
-    /// Sends a statement to a host and waits for its reply until the deadline. Nothing is sent where `may_be_sent` denies
-    /// it once a connection is ready. A long reply is given to `pass_on` once it has begun, and from then on takes as long
-    /// as the host and the client do.
+    /// Sends a statement to a host and waits for its reply until the deadline. `may_be_sent` is called once a
+    /// connection is ready; if it returns false, nothing is sent. When a long reply begins, it is given to `pass_on`;
+    /// the deadline doesn't apply to the rest of that reply.
     pub async fn attempt(
         &self,
         outgoing: OutgoingStatement<'_>,
@@ -84,8 +85,8 @@
             Ok(connection) => connection,
             Err(outcome) => return outcome.into(),
         };
-        // While the connection came up, the list may have changed or the client may have left. This is the last moment to
-        // find out: from the first byte on it counts as sent.
+        // While the connection was set up, the host may have gone out of service or the client may have left. This is
+        // checked before the first byte is written, because from then on the statement counts as sent.
         let Some(_in_flight) = self.begin_request(member).filter(|_| may_be_sent()) else {
             self.check_in(member, connection);
             return Outcome::NotSent.into();
@@ -112,7 +113,8 @@
         }
     }
 
-    /// The query message of a statement, with the milliseconds that are left for it; `None` where there is no room for it.
+    /// Builds the query message of a statement, with the remaining time in milliseconds. Returns `None` if there is not
+    /// enough buffer memory.
     fn query_message(&self, statement: &Statement, deadline: Instant) -> Option<Buffer> {
         let mut message = self.buffers.acquire();
         let left = deadline.saturating_duration_since(Instant::now());
@@ -131,7 +133,7 @@
     }
 }
 
-/// The outcome of an attempt whose reply was received.
+/// Returns the outcome of an attempt whose reply was received.
 fn reply_outcome(reply: &Reply) -> Outcome {
     match reply.error.as_deref() {
         None if reply.served() => Outcome::Ok,
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a database host: an idle one, or a new one with its handshake.
+//! Connections to database hosts: reusing an idle one, or opening a new one with its handshake.
 
 use crate::net::metrics::increment;
 use crate::net::pg::{self, code};
@@ -20,29 +20,29 @@
 /// A connection to a database host.
 pub(super) struct Connection {
     pub(super) stream: TcpStream,
-    /// When it last became idle.
+    /// Time at which the connection last became idle.
     pub(super) idle_since: Instant,
-    /// The incarnation of the host that it leads to.
+    /// Incarnation of the host that the connection was opened to.
     pub(super) incarnation: u64,
     _slot: CountGuard,
 }
 
 impl Connection {
-    /// Whether nothing has arrived on it while it was idle, not even its end.
+    /// Returns whether the connection can be used again: it is still open, and no bytes arrived while it was idle.
     pub(super) fn is_usable(&self) -> bool {
         let read = read_now(&self.stream, &mut [0]);
         matches!(read, Err(e) if e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
-/// Where a new connection leads to.
+/// The address that a new connection is opened to.
 struct HostAddress {
     address: SocketAddr,
     incarnation: u64,
 }
 
 impl Upstream {
-    /// An idle connection if there is one, else a new one.
+    /// Returns an idle connection to a host if there is a usable one; otherwise opens a new one.
     pub(super) async fn connection(
         &self,
         member: MemberId,
@@ -63,13 +63,14 @@
                 Ok(connection)
             }
             Ok(Err(outcome)) => Err(outcome),
-            // The request's time was over first: that says nothing of the host.
+            // The caller's deadline was earlier than the connect timeout, so this says nothing about the host.
             Err(_) if deadline < start + self.connect_timeout() => Err(Outcome::NotSent),
             Err(_) => Err(Outcome::ConnectFailed),
         }
     }
 
-    /// The address of a host, unless it has been drained since the attempt was decided on: then no connection is opened.
+    /// Returns the address of a host that accepts requests. Returns `None` if the host has gone out of service since
+    /// the router chose it, so that no connection is opened.
     fn host_address(&self, member: MemberId) -> Option<HostAddress> {
         let registry = self.registry.borrow();
         let host = registry.hosts.get(member);
@@ -80,7 +81,7 @@
         })
     }
 
-    /// Opens a connection, up to the host's first ReadyForQuery.
+    /// Opens a connection: connects, sends the startup message and waits for the host's first ReadyForQuery.
     async fn open(
         &self,
         host: HostAddress,
--- a/src/net/upstream/drains.rs
+++ b/src/net/upstream/drains.rs
@@ -1,5 +1,5 @@
-//! Hosts that are out of service although this gateway's endpoint list has them in service: drain commands of operators,
-//! and lists that are newer than this gateway's.
+//! Hosts that this gateway takes out of service although its endpoint list has them in service, because of an
+//! operator's drain command or a newer list that the fleet's watcher has announced.
 
 use crate::net::endpoint_list::EndpointList;
 use crate::net::upstream::registry::{Registry, Upstream};
@@ -10,35 +10,37 @@
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What takes hosts out of service besides the endpoint list.
+/// The sources other than the endpoint list that take hosts out of service.
 #[derive(Default)]
 pub(super) struct DrainState {
-    /// The newest drain command for each host, by its fleet id.
+    /// Newest drain command for each host, by fleet id.
     commands: RefCell<BTreeMap<HostId, DrainCommand>>,
-    /// A list that is newer than this gateway's, as the fleet's watcher announced it.
+    /// Endpoint list that the fleet's watcher announced last, as long as it is newer than this gateway's list.
     announced: RefCell<Option<AnnouncedList>>,
-    /// Where only drains in the list bind, a host that was removed or is missing there may still be sent to.
+    /// Whether only drains in the endpoint list stop requests to a host. If so, requests may still be sent to a host
+    /// that was removed from the list without having been drained.
     pub(super) only_listed_drains_bind: Cell<bool>,
 }
 
-/// What a heartbeat of the fleet's watcher says of its endpoint list.
+/// The endpoint list of the fleet's watcher, as its heartbeat describes it.
 struct AnnouncedList {
-    /// Its version.
+    /// Revision of the list.
     revision: Revision,
-    /// The hosts that it has out of service, by their fleet ids.
+    /// Fleet ids of the hosts that are out of service in the list.
     out_of_service: BTreeSet<HostId>,
 }
 
 impl Upstream {
-    /// Takes a drain command: from now on nothing is sent to a host that is drained.
+    /// Applies a drain command: from now on nothing is sent to a host that it drains.
     pub fn apply_drain_command(&self, command: DrainCommand) {
         let commands = &self.drains.commands;
         commands.borrow_mut().insert(command.host, command);
         self.apply_drains();
     }
 
-    /// Takes a heartbeat of the gateway that watches the list for the fleet: its list has this version, and these hosts
-    /// out of service. Nothing is sent to them until this gateway's own list is as new.
+    /// Applies a heartbeat of the gateway that watches the endpoint list for the fleet. `revision` is the revision of
+    /// that gateway's list, `out_of_service` the hosts that are out of service there. Nothing is sent to these hosts
+    /// until this gateway's list has at least that revision.
     pub fn apply_watch_heartbeat(&self, revision: Revision, out_of_service: Vec<HostId>) {
         if revision > self.revision() {
             let announced = AnnouncedList {
@@ -50,7 +52,8 @@
         }
     }
 
-    /// Takes hosts out of service, or puts them back, as drain commands and a newer list say.
+    /// Takes hosts out of service, or puts them back into service, according to the drain commands and the announced
+    /// list.
     pub(super) fn apply_drains(&self) {
         let commands = self.drains.commands.borrow();
         let announced = self.drains.announced.take();
@@ -71,7 +74,7 @@
 }
 
 impl Registry {
-    /// The hosts that commands drain, by their fleet ids: never all that a group has in service.
+    /// Returns the fleet ids of the hosts that the commands drain. At least one host of each group stays in service.
     fn drained_hosts(&self, commands: &BTreeMap<HostId, DrainCommand>) -> BTreeSet<HostId> {
         let mut groups: BTreeMap<GroupId, Vec<HostId>> = BTreeMap::new();
         for host in self.hosts.values().filter(|host| host.in_service()) {
@@ -85,14 +88,15 @@
             .collect()
     }
 
-    /// Marks exactly these hosts as drained. Returns the entries of those in service that changed, if there are any, as
-    /// changes to the list.
+    /// Marks exactly these hosts as drained. Returns an incremental list with the entries of the hosts in service whose
+    /// mark changed; `None` if there are none.
     fn set_drained_hosts(&mut self, drained: &BTreeSet<HostId>) -> Option<EndpointList> {
         let mut changed = Vec::new();
         for host in self.hosts.values_mut() {
             let is_drained = drained.contains(&host.fleet_id);
             if host.drained != is_drained {
-                // Also where the list has it out of service: else it would stay drained once the list has it back.
+                // Also for a host that is out of service in the list; otherwise the mark would be stale when it
+                // returns.
                 host.drained = is_drained;
                 if host.in_service() {
                     changed.push(host.entry.clone());
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One exchange on a connection: a query is written, and its reply is read or passed on.
+//! One exchange on a connection: a query is written, and its reply is read or streamed to the client.
 
 use crate::net::buffers::Buffer;
 use crate::net::log::log;
@@ -13,31 +13,32 @@
 
 /// A query that is ready to be written.
 pub(super) struct Query {
-    /// The host that it goes to.
+    /// Host that the query is sent to.
     pub(super) member: MemberId,
-    /// A connection to that host, on which nothing else is in flight.
+    /// Connection to that host, with nothing else in flight.
     pub(super) connection: Connection,
-    /// The message.
+    /// The query message.
     pub(super) message: Buffer,
-    /// When its reply has to be there, or a long one has to have begun.
+    /// Time by which the reply must have arrived; a long reply must have begun by then.
     pub(super) deadline: Instant,
 }
 
 /// A host's reply to a query.
 pub(super) struct QueryReply {
-    /// What its messages say.
+    /// Content of the messages of the reply.
     pub(super) reply: Reply,
-    /// The messages of the row; `None` where they were passed on.
+    /// Messages of the row; `None` if they were streamed to the client.
     pub(super) row: Option<Buffer>,
 }
 
 impl Upstream {
-    /// Writes a query and reads its reply, or passes it on where it is long and `pass_on` takes such. The connection is
-    /// used again only after a whole reply.
+    /// Writes a query and reads its reply. A long reply is streamed to `pass_on`; without `pass_on`, it is read as a
+    /// whole. The connection is reused only after a complete reply.
     ///
     /// # Errors
     ///
-    /// The outcome of the attempt. Until the last byte of the query is written, it can't have run.
+    /// Returns the outcome of the attempt. If it failed before the last byte of the query was written, the query can't
+    /// have run, and the outcome is [`Outcome::ConnectFailed`].
     pub(super) async fn exchange(
         &self,
         query: Query,
@@ -71,7 +72,7 @@
         Ok(reply)
     }
 
-    /// A complete reply as it is; a long one when it has been passed on.
+    /// Returns a complete reply at once. Streams a long one to the client first.
     async fn finish_reply(
         &self,
         connection: &mut Connection,
@@ -91,7 +92,8 @@
         }
     }
 
-    /// The outcome of an attempt whose query was written and whose reply was not received.
+    /// Returns the outcome of an attempt whose query was written but whose reply was not received, and logs a protocol
+    /// error or lack of memory.
     fn failed_reply(&self, member: MemberId, error: &ReplyError) -> Outcome {
         match error {
             ReplyError::ConnectionLost => Outcome::Reset,
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: a host is asked for its load report.
+//! Health checks, each of which requests the load report of a host.
 
 use crate::net::metrics::increment;
 use crate::net::pg::{self, code, Reply};
@@ -12,31 +12,32 @@
 use irisrouter_cluster_types::{Epoch, TaskId};
 use tokio::time::Instant;
 
-/// The query that a host answers with its load report.
+/// Query that a host answers with its load report.
 const HEALTH_CHECK_QUERY: &str = "SHOW usage";
 
-/// The lease under which a gateway checks a host. A host refuses an epoch that is older than the latest one it saw.
+/// The lease under which a gateway sends health checks to a host. A host refuses a check whose epoch is older than the
+/// latest one that it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fence {
-    /// The leased task.
+    /// Task that the lease is for.
     pub task: TaskId,
-    /// The epoch of the lease.
+    /// Epoch of the lease.
     pub epoch: Epoch,
 }
 
-/// A finished health check.
+/// The result of a health check.
 pub struct HealthCheck {
-    /// What it says, for the router.
+    /// Event that reports the result to the router.
     pub event: Event,
-    /// The host has seen a later epoch of the lease.
+    /// Whether the host refused the check because it has received a later epoch of the lease.
     pub fenced: bool,
 }
 
-/// What a host's reply to a health check says.
+/// A host's reply to a health check.
 struct HealthCheckReply {
     outcome: Outcome,
     report: Option<LoadReport>,
-    /// The host has seen a later epoch of the lease.
+    /// Whether the host refused the check because it has received a later epoch of the lease.
     fenced: bool,
 }
 
@@ -51,12 +52,12 @@
 }
 
 impl Upstream {
-    /// Asks a host for its load report.
+    /// Requests the load report of a host.
     pub async fn health_check(&self, member: MemberId) -> Event {
         self.health_check_with_fence(member, None).await.event
     }
 
-    /// Asks a host for its load report, as the holder of a lease.
+    /// Requests the load report of a host, with the epoch of the lease in `fence` if there is one.
     pub async fn health_check_with_fence(
         &self,
         member: MemberId,
@@ -69,8 +70,8 @@
             Ok(answer) => self.health_check_reply(&answer.reply, fence),
             Err(outcome) => outcome.into(),
         };
-        // A check that waited its whole time for a connection counts as unanswered for reachability. For the router it is
-        // "not sent", which says nothing of the host.
+        // A check whose whole timeout passed while it waited for a connection counts as unanswered for reachability.
+        // The router gets the outcome "not sent", which says nothing about the host.
         let waited_for_connection = reply.outcome == Outcome::NotSent;
         let timed_out = waited_for_connection && start.elapsed() >= self.connect_timeout();
         let reachability = if timed_out {
@@ -111,7 +112,7 @@
             message,
             deadline,
         };
-        // A load report is short: no long value is passed on.
+        // A load report is short, so there is no long value to stream.
         self.exchange(query, None::<fn(StreamedAnswer)>).await
     }
 
@@ -135,7 +136,7 @@
     }
 }
 
-/// The query, with the fence in a comment where there is one.
+/// Builds the query of a health check, with the fence, if there is one, in an SQL comment.
 fn health_check_text(fence: Option<Fence>) -> String {
     match fence {
         None => HEALTH_CHECK_QUERY.to_string(),
--- a/src/net/upstream/host.rs
+++ b/src/net/upstream/host.rs
@@ -1,4 +1,4 @@
-//! One database host: its entry in the endpoint list, and what this gateway keeps about it.
+//! One database host: its entry in the endpoint list, and the state that this gateway keeps for it.
 
 use crate::net::endpoint_list::{EndpointEntry, EndpointPhase};
 use crate::net::upstream::load_report::NANOSECONDS_PER_MILLISECOND;
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Adds one to a count until it is dropped.
+/// Increments a count when created and decrements it when dropped.
 pub(super) struct CountGuard(Rc<Cell<usize>>);
 
 impl CountGuard {
@@ -29,26 +29,28 @@
 
 /// A database host.
 pub(super) struct Host {
-    /// The id by which all gateways of the fleet know it.
+    /// Id that all gateways of the fleet use for the host.
     pub(super) fleet_id: HostId,
-    /// Its newest entry in the endpoint list.
+    /// Newest entry of the host in the endpoint list.
     pub(super) entry: EndpointEntry,
-    /// Whether new requests and health checks may be sent to it.
+    /// Whether new requests and health checks may be sent to the host.
     pub(super) accepts_requests: bool,
-    /// Changes when its process or its address does: a connection to an earlier incarnation is not used again.
+    /// Counter that is incremented when the host's process or address changes, or the host is terminated. A connection
+    /// to an earlier incarnation is not reused.
     pub(super) incarnation: u64,
-    /// Since when the list does not contain it any more.
+    /// Time at which the host was removed from the endpoint list; `None` while the list contains it.
     pub(super) removed_at: Option<Instant>,
-    /// A drain command, or a later list than this gateway's, has it out of service, whatever this gateway's list says.
+    /// Whether a drain command, or an announced list that is newer than this gateway's, takes the host out of service,
+    /// whatever this gateway's list says.
     pub(super) drained: bool,
-    /// Requests and health checks in flight there.
+    /// Number of requests and health checks in flight at the host.
     pub(super) in_flight: Rc<Cell<usize>>,
-    /// Recent results, where reachability reports are enabled.
+    /// Recent results of the host; recorded only if reachability reports are enabled.
     pub(super) reachability: HostReachability,
 }
 
 impl Host {
-    /// A host that the list has just named; [`Host::apply_entry`] decides whether it accepts requests.
+    /// Creates a host for an entry of the list. It accepts no requests until [`Host::apply_entry`] has been called.
     pub(super) fn new(entry: &EndpointEntry) -> Self {
         Host {
             fleet_id: message::host_id(&entry.id),
@@ -62,12 +64,12 @@
         }
     }
 
-    /// Its group.
+    /// Returns the group of the host.
     pub(super) fn group(&self) -> GroupId {
         GroupId(self.entry.cell)
     }
 
-    /// What the index to the hosts depends on.
+    /// Returns the part of the host's state that the host index depends on.
     pub(super) fn indexed_state(&self) -> IndexedState<GroupId> {
         IndexedState {
             fleet_id: self.fleet_id,
@@ -77,17 +79,17 @@
         }
     }
 
-    /// Whether the list has it in service.
+    /// Returns whether the host is in service according to the endpoint list.
     pub(super) fn in_service(&self) -> bool {
         self.removed_at.is_none() && self.entry.phase == EndpointPhase::InService
     }
 
-    /// Takes a new entry of the list.
+    /// Applies a new entry of the endpoint list.
     pub(super) fn apply_entry(&mut self, entry: &EndpointEntry, only_listed_drains_bind: bool) {
         self.accepts_requests = match entry.phase {
             EndpointPhase::InService => !self.drained,
             EndpointPhase::Terminating => false,
-            // One that was draining before it was terminated stays closed.
+            // A host that was drained before it was terminated still accepts no requests.
             EndpointPhase::Terminated => self.accepts_requests && only_listed_drains_bind,
         };
         let last = &self.entry;
@@ -97,18 +99,18 @@
         self.entry = entry.clone();
     }
 
-    /// The list says that it was removed, or does not contain it any more.
+    /// Records that the host was removed: the list says so, or no longer contains the host.
     pub(super) fn mark_removed(&mut self, only_listed_drains_bind: bool) {
         self.accepts_requests &= only_listed_drains_bind;
         self.removed_at = self.removed_at.or_else(|| Some(Instant::now()));
     }
 
-    /// Whether a connection to this incarnation of the host may be used for further requests.
+    /// Returns whether a connection to this incarnation of the host may be used for further requests.
     pub(super) fn accepts_requests_at(&self, incarnation: u64) -> bool {
         self.accepts_requests && self.incarnation == incarnation
     }
 
-    /// Its entry as the router takes it.
+    /// Returns the host's entry in the form that the router takes.
     pub(super) fn endpoint(&self, member: MemberId, zone: ZoneId) -> Endpoint {
         let entry = &self.entry;
         let started = (entry.up_since_ms * NANOSECONDS_PER_MILLISECOND as f64) as i64;
--- a/src/net/upstream/host_lookup.rs
+++ b/src/net/upstream/host_lookup.rs
@@ -1,4 +1,4 @@
-//! Questions about the hosts: by name, by group, by the id that the fleet knows them by.
+//! Look-ups of hosts by name, by group and by fleet id, which is the id that all gateways use for a host.
 
 use crate::net::endpoint_list::EndpointList;
 use crate::net::upstream::host_table::GroupMember;
@@ -8,13 +8,14 @@
 use irisrouter_endpoint_watch::Revision;
 
 impl Upstream {
-    /// Whether the list has named a host of this group, or there is no list yet.
+    /// Returns whether a host of this group has ever been in the endpoint list. Also true while no list has named any
+    /// host.
     pub fn may_have_group(&self, group: GroupId) -> bool {
         let groups = &self.registry.borrow().groups;
         groups.is_empty() || groups.contains(&group)
     }
 
-    /// The list as it stands.
+    /// Returns the current endpoint list.
     pub fn endpoint_list(&self) -> EndpointList {
         let registry = self.registry.borrow();
         let listed = registry
@@ -28,41 +29,41 @@
         }
     }
 
-    /// The version of the list.
+    /// Returns the revision of the endpoint list.
     pub fn revision(&self) -> Revision {
         self.registry.borrow().revision
     }
 
-    /// The member id of a host that the list names.
+    /// Returns the member id of the host with this name in the endpoint list.
     pub fn member_by_name(&self, name: &str) -> Option<MemberId> {
         self.registry.borrow().members_by_name.get(name).copied()
     }
 
-    /// The hosts of a group that accept requests.
+    /// Returns the hosts of a group that accept requests.
     pub fn members_in_service(&self, group: GroupId) -> Vec<MemberId> {
         let registry = self.registry.borrow();
         registry.hosts.index().accepting(group).collect()
     }
 
-    /// The groups that have hosts which accept requests, in ascending order.
+    /// Returns the groups with at least one host that accepts requests, in ascending order.
     pub fn groups_in_service(&self) -> Vec<GroupId> {
         let registry = self.registry.borrow();
         registry.hosts.index().groups_in_service().collect()
     }
 
-    /// A number that changes whenever [`Upstream::groups_in_service`] does.
+    /// Returns a number that changes whenever the result of [`Upstream::groups_in_service`] changes.
     pub fn groups_version(&self) -> u64 {
         self.registry.borrow().hosts.index().groups_version()
     }
 
-    /// The id by which the fleet knows a host.
+    /// Returns the fleet id of a host.
     pub fn fleet_host_id(&self, member: MemberId) -> Option<HostId> {
         let registry = self.registry.borrow();
         let host = registry.hosts.get(member)?;
         Some(host.fleet_id)
     }
 
-    /// The host which accepts requests and which the fleet knows by this id; `None` where two have the id.
+    /// Returns the host with this fleet id that accepts requests. Returns `None` if there is none, or more than one.
     pub fn member_by_fleet_id(&self, fleet_id: HostId) -> Option<GroupMember> {
         let registry = self.registry.borrow();
         match registry.hosts.index().accepting_with_fleet_id(fleet_id) {
@@ -71,28 +72,28 @@
         }
     }
 
-    /// The name of a host; empty where it has been forgotten.
+    /// Returns the name of a host; an empty one if the host has been deleted from the registry.
     pub fn member_name(&self, member: MemberId) -> String {
         let registry = self.registry.borrow();
         let host = registry.hosts.get(member);
         host.map(|host| host.entry.id.clone()).unwrap_or_default()
     }
 
-    /// Requests in flight at the host that the fleet knows by this id.
+    /// Returns the number of requests and health checks in flight at the hosts with this fleet id.
     pub fn requests_in_flight(&self, fleet_id: HostId) -> usize {
         let registry = self.registry.borrow();
         let hosts = registry.hosts.with_fleet_id(fleet_id);
         hosts.map(|host| host.in_flight.get()).sum()
     }
 
-    /// The name of the host that the fleet knows by this id; where the list has none, the id.
+    /// Returns the name of the host with this fleet id; the text `host` and the id if no host is known by it.
     pub fn host_name(&self, fleet_id: HostId) -> String {
         let registry = self.registry.borrow();
         let host = registry.hosts.with_fleet_id(fleet_id).next();
         host.map_or_else(|| format!("host {fleet_id}"), |host| host.entry.id.clone())
     }
 
-    /// Whether another host of the same group would still accept requests without this one.
+    /// Returns whether another host of the same group accepts requests, so that the group can do without this one.
     pub fn can_spare(&self, fleet_id: HostId) -> bool {
         let registry = self.registry.borrow();
         let hosts = &registry.hosts;
@@ -106,7 +107,8 @@
         accepting.any(|other| other.fleet_id != fleet_id)
     }
 
-    /// The sum of the sizes of the hosts in each zone that the list has in service, unreachable ones included.
+    /// Returns the total size of the hosts in each of these zones that are in service according to the endpoint list,
+    /// including unreachable ones.
     pub fn capacity_by_zone(&self, zones: &[String]) -> Vec<f64> {
         let registry = self.registry.borrow();
         let capacity = |zone: &String| {
@@ -119,8 +121,8 @@
         zones.iter().map(capacity).collect()
     }
 
-    /// The fleet ids of hosts that the list has out of service, `limit` of them at most: those that it still names, and
-    /// those that it removed lately.
+    /// Returns the fleet ids of at most `limit` hosts that are out of service according to the endpoint list: hosts
+    /// that it contains, and hosts that were removed from it recently.
     pub fn out_of_service(&self, limit: usize) -> Vec<HostId> {
         let registry = self.registry.borrow();
         let hosts = registry.hosts.values();
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -1,23 +1,24 @@
-//! What hosts say of themselves: load reports, and the role and position in a reply. Values that can't be true are left
-//! out.
+//! What hosts report about themselves: load reports, and the role and position in a reply. Implausible values are
+//! omitted.
 
 use crate::net::pg::{self, HostRole, Reply};
 use irisrouter::routing::{LoadReport, ReplicationStatus, Role, TimeDelta, Timestamp};
 
 pub(super) const NANOSECONDS_PER_MILLISECOND: i64 = 1_000_000;
 const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
-/// How far a position may be ahead of this gateway's clock: clocks differ by less. A position from the
-/// future would prove for ever that its host is recent enough.
+/// Maximum time that a position may be ahead of this gateway's clock, because clocks differ by less. A position too far
+/// in the future would make its host count as recent enough for ever.
 const MAX_POSITION_AHEAD: TimeDelta = TimeDelta::from_millis(100);
-/// The most requests in flight that a report may claim: no host holds more.
+/// Maximum number of requests in flight that is accepted from a report; no host has more.
 const MAX_IN_FLIGHT: f64 = 1e6;
-/// The largest share of cores in use that a report may claim: reports are noisy, but not by more.
+/// Maximum share of cores in use that is accepted from a report: above 1, because reports are noisy, but not by more.
 const MAX_CORES_IN_USE: f64 = 2.0;
-/// Added to a position in milliseconds before it is rounded down, so that one with whole milliseconds keeps them although
-/// its seconds are no exact binary fraction.
+/// Added to a position in milliseconds before it is rounded down. Most positions in seconds are not exact as binary
+/// fractions, and without this, one of a whole number of milliseconds could be rounded down to the previous
+/// millisecond.
 const ROUNDING_TOLERANCE_MS: f64 = 0.001;
 
-/// The role and position of a host, where its reply says them.
+/// Returns the role and position of a host; `None` if its reply doesn't contain the role.
 pub(super) fn replication_status(reply: &Reply, now: Timestamp) -> Option<ReplicationStatus> {
     let role = match reply.role? {
         HostRole::Writer => Role::Primary,
@@ -29,7 +30,7 @@
     })
 }
 
-/// The position of a host from its Unix milliseconds, unless it can't be true.
+/// Converts the position of a host from Unix milliseconds. Returns `None` if it is implausible.
 fn position(milliseconds: i64, now: Timestamp) -> Option<Timestamp> {
     let latest = now.saturating_add(MAX_POSITION_AHEAD);
     milliseconds
@@ -38,7 +39,7 @@
         .filter(|&position| position > Timestamp::ZERO && position <= latest)
 }
 
-/// Parses a load report. Its position is in Unix seconds, with the milliseconds behind the decimal point.
+/// Parses a load report. The position in it is in Unix seconds, with milliseconds as decimals.
 pub(super) fn parse_load_report(text: &str, now: Timestamp) -> LoadReport {
     let mut report = LoadReport::default();
     for (name, value) in pg::report(text) {
@@ -57,7 +58,8 @@
     report
 }
 
-/// Seconds in whole milliseconds, rounded down: a position rounded up would claim commits that are not there yet.
+/// Converts seconds to whole milliseconds, rounded down, because a position that is rounded up would include commits
+/// that the host doesn't have yet.
 fn whole_milliseconds(seconds: f64) -> i64 {
     (seconds * MILLISECONDS_PER_SECOND + ROUNDING_TOLERANCE_MS).floor() as i64
 }
--- a/src/net/upstream/mod.rs
+++ b/src/net/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Database hosts: which there are, the connections to them, attempts and health checks.
+//! Database hosts: the registry of hosts, the connections to them, attempts and health checks.
 
 mod attempt;
 mod connection;
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! The connections to all hosts: how many there may be, and which idle one is used or closed next.
+//! The pool of connections to all hosts: its limits, and the choice of the idle connection to reuse or close.
 
 use crate::net::upstream::connection::Connection;
 use crate::net::upstream::host::{CountGuard, Host};
@@ -9,30 +9,30 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often [`Upstream::close_idle`] is called: far shorter than the margin that remains before a host closes an idle
-/// connection itself, which is a fifth of its idle timeout.
+/// Interval between calls of [`Upstream::close_idle`]. It is far shorter than the time from this gateway's idle timeout
+/// to the host's, which is a fifth of the host's.
 pub const IDLE_CLOSE_INTERVAL: Duration = Duration::from_millis(500);
-/// A connection stays idle for at least this time before it is used again. What a host sends behind a good answer, such as
-/// a second copy of it, arrives meanwhile, and is not read as the answer of the next request.
+/// Minimum time that a connection is idle before it is reused. Bytes that a host sends after a complete reply, such as
+/// a second copy of it, arrive in this time, so that they are not read as the reply to the next request.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(10);
-/// How long a host that was removed from the list is remembered, as it may come back. Where hosts are replaced all day,
-/// they would otherwise be kept for ever.
+/// Time from a host's removal from the endpoint list until the host is deleted from the registry. A host may return to
+/// the list within this time. Without a limit, the registry would grow for ever where hosts are replaced all day.
 const REMOVED_HOST_RETENTION: Duration = Duration::from_secs(30);
 
 /// Limits on the connections to hosts.
 pub(super) struct ConnectionLimits {
-    /// How long a connection may take to come up.
+    /// Maximum time to open a connection.
     pub(super) connect_timeout: Cell<Duration>,
-    /// How long a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub(super) idle_timeout: Cell<Duration>,
-    /// Connections to all hosts, those of another process of this gateway included.
+    /// Maximum number of connections to all hosts, including those of another process of this gateway.
     max_connections: usize,
-    /// Connections of this process.
+    /// Number of open connections of this process, including those that are being opened.
     open: Rc<Cell<usize>>,
 }
 
 impl ConnectionLimits {
-    /// No connection yet, and no timeouts.
+    /// Creates limits with no open connection. The timeouts are zero until the settings are applied.
     pub(super) fn new(max_connections: usize) -> Self {
         ConnectionLimits {
             connect_timeout: Cell::default(),
@@ -44,23 +44,23 @@
 }
 
 impl Upstream {
-    /// Connections of this process.
+    /// Returns the number of open connections of this process, including those that are being opened.
     pub fn open_connections(&self) -> usize {
         self.limits.open.get()
     }
 
-    /// Sets the connections of another process of this gateway: they count towards the limit of this one.
+    /// Sets the number of connections of another process of this gateway, which count towards this process's limit.
     pub fn set_other_process_connections(&self, connections: usize) {
         self.other_process_connections.set(connections);
     }
 
-    /// Connections of all processes of this gateway.
+    /// Returns the number of connections of all processes of this gateway.
     fn total_connections(&self) -> usize {
         self.open_connections() + self.other_process_connections.get()
     }
 
-    /// A slot for one more connection; at the limit, that of the one that has been idle longest. `None` where all are in
-    /// use.
+    /// Reserves a slot for a new connection. At the limit, the connection that has been idle longest is closed first.
+    /// Returns `None` if the limit is reached and no connection is idle.
     pub(super) fn reserve_slot(&self) -> Option<CountGuard> {
         while self.total_connections() >= self.limits.max_connections {
             if !self.close_longest_idle() {
@@ -70,14 +70,15 @@
         Some(CountGuard::new(&self.limits.open))
     }
 
-    /// Closes the connection that has been idle longest; returns whether there was one.
+    /// Closes the connection that has been idle longest. Returns whether there was an idle connection.
     fn close_longest_idle(&self) -> bool {
         let longest_idle = self.registry.borrow_mut().idle.take_longest_idle();
         longest_idle.is_some()
     }
 
-    /// The connection that was used last of those that have been idle long enough: it is the warmest, and the others can
-    /// reach their idle timeout.
+    /// Takes the most recently used connection to a host of those that have been idle for [`MIN_IDLE_TIME`]. The most
+    /// recent one is preferred because it is the warmest, and so that the others can reach their idle timeout.
+    /// Returns `None` if there is none, or if it has reached its idle timeout; it is then closed.
     pub(super) fn check_out(&self, member: MemberId) -> Option<Connection> {
         let mut registry = self.registry.borrow_mut();
         let idle_timeout = self.limits.idle_timeout.get();
@@ -87,7 +88,8 @@
         (now - connection.idle_since < idle_timeout).then_some(connection)
     }
 
-    /// Makes a connection idle, or closes it where its host takes no requests or has changed since it came up.
+    /// Returns a connection to the pool. Closes it if its host accepts no requests, or if the host's incarnation has
+    /// changed since the connection was opened.
     pub(super) fn check_in(&self, member: MemberId, mut connection: Connection) {
         let mut registry = self.registry.borrow_mut();
         let host = registry.hosts.get(member);
@@ -97,7 +99,8 @@
         }
     }
 
-    /// Counts one more request in flight at a host, if new ones may be sent to it at this moment.
+    /// Counts a request as in flight at a host until the guard is dropped. Returns `None` if the host accepts no
+    /// requests.
     pub(super) fn begin_request(&self, member: MemberId) -> Option<CountGuard> {
         let registry = self.registry.borrow();
         let host = registry.hosts.get(member);
@@ -105,8 +108,9 @@
         Some(CountGuard::new(&host.in_flight))
     }
 
-    /// Closes idle connections before their hosts do, and those that their hosts have closed already. Forgets hosts that
-    /// were removed a while ago.
+    /// Closes idle connections that exceed the limit, that have reached their idle timeout, so that they are closed
+    /// before their hosts do it, or that their hosts have closed already. Deletes hosts that were removed from the
+    /// endpoint list at least [`REMOVED_HOST_RETENTION`] ago.
     pub fn close_idle(&self) {
         while self.total_connections() > self.limits.max_connections && self.close_longest_idle() {}
         let mut registry = self.registry.borrow_mut();
--- a/src/net/upstream/reachability.rs
+++ b/src/net/upstream/reachability.rs
@@ -1,4 +1,4 @@
-//! Which hosts answer, from the results of requests and health checks: what site failover decides on.
+//! Which hosts answer, according to the results of requests and health checks. Site failover decides on this basis.
 
 use crate::net::upstream::host::Host;
 use crate::net::upstream::registry::Upstream;
@@ -7,12 +7,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A result that is older than this says nothing of a host any more.
+/// Age from which on a host's last result is no longer taken into account.
 const RESULT_MAX_AGE: Duration = Duration::from_secs(2);
-/// A host is silent after this many failures in a row: a single one may be a lost connection.
+/// Number of consecutive failures after which a host counts as silent. A single failure may be just a lost connection.
 const SILENT_AFTER_FAILURES: u32 = 2;
 
-/// What was sent to a host.
+/// Kind of message that was sent to a host.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum SentKind {
     /// An attempt of a client's request.
@@ -21,32 +21,32 @@
     HealthCheck,
 }
 
-/// Recent results of a host.
+/// Recent results of requests and health checks at a host.
 #[derive(Default)]
 pub(super) struct HostReachability {
-    /// When it last answered or failed.
+    /// Time of the last result, whether an answer or a failure.
     last_result_at: Option<Instant>,
-    /// Failures since it last answered.
+    /// Number of failures since the last answer.
     consecutive_failures: u32,
-    /// Requests that ended since the last report.
+    /// Number of requests that have ended since the last report.
     sent: u16,
-    /// Of those, the ones that it answered.
+    /// Number of requests in `sent` that the host served, or refused as unsuitable.
     answered: u16,
 }
 
-/// What a result says of a host.
+/// What a result says about the reachability of a host.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Evidence {
-    /// It served the request, or said why it can't.
+    /// The host served the request, or reported that it is unsuitable for it.
     Served,
-    /// It answered with an error.
+    /// The host answered with another error.
     Answered,
-    /// It did not answer.
+    /// The host did not answer.
     Silent,
 }
 
 impl Evidence {
-    /// What an outcome says of the host; `None` where it says nothing.
+    /// Returns what an outcome says about the host; `None` if it says nothing.
     fn of(outcome: Outcome) -> Option<Self> {
         match outcome {
             Outcome::Ok | Outcome::Unsuitable => Some(Evidence::Served),
@@ -73,7 +73,7 @@
 }
 
 impl Host {
-    /// Adds its results since the last report to the report of its zone.
+    /// Adds the host's results since the last report to the report of its zone, and resets its counts.
     fn take_reachability(&mut self, report: &mut SiteReachability) {
         let sent = std::mem::take(&mut self.reachability.sent);
         let answered = std::mem::take(&mut self.reachability.answered);
@@ -90,12 +90,12 @@
 }
 
 impl Upstream {
-    /// From now on results are kept for reachability reports.
+    /// Enables reachability reports: results are recorded from now on.
     pub fn enable_reachability_reports(&self) {
         self.reachability_enabled.set(true);
     }
 
-    /// An attempt or a health check ended.
+    /// Records the outcome of an attempt or a health check, if reachability reports are enabled.
     pub(super) fn record_result(&self, member: MemberId, outcome: Outcome, sent: SentKind) {
         if !self.reachability_enabled.get() {
             return;
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The results of the hosts in each of these zones since this was last called.
+    /// Returns a reachability report for each of these zones, with the requests since the previous call.
     pub fn take_reachability(&self, zones: &[String]) -> Vec<SiteReachability> {
         let mut reports = vec![SiteReachability::default(); zones.len()];
         for host in self.registry.borrow_mut().hosts.values_mut() {
--- a/src/net/upstream/registry.rs
+++ b/src/net/upstream/registry.rs
@@ -1,4 +1,4 @@
-//! Which database hosts there are: the endpoint list, merged with what this gateway knows already.
+//! The registry of database hosts, into which each endpoint list is merged.
 
 use crate::net::buffers::Pool;
 use crate::net::endpoint_list::{EndpointEntry, EndpointList, EndpointPhase};
@@ -18,19 +18,20 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Idle connections are closed after this share of the time at which a host closes them. A request that is written to a
-/// connection which its host has just closed ends as a reset, and may have run.
+/// Idle timeout of this gateway, as a share of the hosts' idle timeout. It is less than 1 because a request that is
+/// written to a connection which its host has just closed ends with a connection reset, and counts as one that may have
+/// run.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// All database hosts that the list has named, and the connections to them.
+/// All database hosts of the endpoint list, and the connections to them.
 ///
-/// Shared by the router task, the requests, discovery and the cluster's services, which all run on one thread. Attempts
-/// await in the middle of their work, so the registry is borrowed anew for each look and may have changed in between.
+/// Shared by the router task, the requests, discovery and the cluster's services, which all run on one thread. No
+/// borrow of the registry is held across an await, so the registry may change while an attempt waits.
 pub struct Upstream {
     pub(super) registry: RefCell<Registry>,
     pub(super) drains: DrainState,
     pub(super) limits: ConnectionLimits,
-    /// Connections of another process of this gateway, during a hot restart.
+    /// Number of connections of another process of this gateway, during a hot restart.
     pub(super) other_process_connections: Cell<usize>,
     pub(super) reachability_enabled: Cell<bool>,
     pub(super) buffers: Rc<Pool>,
@@ -39,25 +40,26 @@
     on_endpoint_list: Box<dyn Fn(Event)>,
 }
 
-/// The hosts, and the names and numbers by which they are found.
+/// The hosts, their idle connections, and the names and ids by which they are found.
 #[derive(Default)]
 pub(super) struct Registry {
-    /// The hosts that the list contains or contained lately. A member id is never used again: late attempts at a host that
-    /// has been forgotten must not reach another one.
+    /// Hosts that the list contains or contained recently. Member ids are not reused, because a late attempt at a
+    /// deleted host must not reach another host.
     pub(super) hosts: HostTable,
-    /// The idle connections to them.
+    /// Idle connections to the hosts.
     pub(super) idle: IdleConnections<MemberId, Connection>,
     pub(super) members_by_name: HashMap<String, MemberId>,
     next_member: u32,
-    /// All groups that the list has ever named.
+    /// All groups that have ever been in the list.
     pub(super) groups: BTreeSet<GroupId>,
     zones: NameTable,
-    /// The version of the list.
+    /// Revision of the list.
     pub(super) revision: Revision,
 }
 
 impl Upstream {
-    /// No hosts yet, and `max_connections` to them at most. Each endpoint list goes to the router through `on_endpoint_list`.
+    /// Creates an upstream without hosts, with at most `max_connections` connections. `on_endpoint_list` passes each
+    /// merged endpoint list on to the router.
     pub fn new(
         loaded: &PlatformSettings,
         max_connections: usize,
@@ -85,7 +87,7 @@
         upstream
     }
 
-    /// Takes new settings. Returns the id that their zone has here.
+    /// Applies new settings. Returns the id of this gateway's zone at the router.
     pub fn update_settings(&self, loaded: &PlatformSettings) -> ZoneId {
         let settings = &loaded.settings;
         let connect_timeout = duration(settings.limits.connect_timeout);
@@ -100,17 +102,17 @@
         self.zone_id(own_zone)
     }
 
-    /// The id of a zone at the router.
+    /// Returns the id of a zone at the router.
     pub fn zone_id(&self, name: &str) -> ZoneId {
         self.registry.borrow_mut().zone_id(name)
     }
 
-    /// How long a connection may take to come up.
+    /// Returns the maximum time to open a connection.
     pub fn connect_timeout(&self) -> Duration {
         self.limits.connect_timeout.get()
     }
 
-    /// Takes an endpoint list: from now on nothing is sent to a host that it has out of service.
+    /// Applies an endpoint list: from now on nothing is sent to a host that is out of service in it.
     pub fn apply_endpoint_list(&self, list: &EndpointList) {
         self.merge_endpoint_list(list);
         self.apply_drains();
@@ -131,12 +133,12 @@
 }
 
 impl Registry {
-    /// Merges an endpoint list. Returns its entries as the router takes them.
+    /// Merges an endpoint list. Returns its entries in the form that the router takes.
     fn merge(&mut self, list: &EndpointList, only_listed_drains_bind: bool) -> Vec<Endpoint> {
         self.revision = list.revision;
         let mut endpoints = Vec::with_capacity(list.members.len());
         for entry in &list.members {
-            // A host that was terminated before this gateway knew of it needs no member id.
+            // A terminated host that this gateway has never known needs no member id.
             let known = self.members_by_name.contains_key(&entry.id);
             if entry.phase != EndpointPhase::Terminated || known {
                 endpoints.push(self.merge_entry(entry, only_listed_drains_bind));
@@ -162,7 +164,7 @@
         endpoint.expect("the host is in the table")
     }
 
-    /// Marks the hosts that the list says were removed, and those that a complete list does not contain.
+    /// Marks hosts as removed that are removed in the list, and those that a complete list does not contain.
     fn mark_removed_hosts(
         &mut self,
         endpoints: &[Endpoint],
@@ -171,7 +173,7 @@
     ) {
         let mut listed = HashSet::with_capacity(endpoints.len());
         for endpoint in endpoints {
-            // Where a list has two entries of a host, the first says whether it was removed.
+            // If a list has several entries for a host, the first one decides whether the host is removed.
             if listed.insert(endpoint.member) {
                 let removed = endpoint.state == EndpointState::Removed;
                 self.mark_removed(endpoint.member, removed, only_listed_drains_bind);
@@ -199,7 +201,7 @@
         }
     }
 
-    /// The member id of this name, a new one where it has none.
+    /// Returns the member id for this name; assigns a new one if there is none.
     fn member_for_name(&mut self, name: &str) -> MemberId {
         let next_member = &mut self.next_member;
         let members = self.members_by_name.entry(name.to_string());
--- a/src/net/upstream/reply.rs
+++ b/src/net/upstream/reply.rs
@@ -1,4 +1,4 @@
-//! Reading a host's reply, message by message, and why reading it can fail.
+//! Reads a host's reply, message by message.
 
 use crate::net::buffers::Buffer;
 use crate::net::pg::{self, Reply};
@@ -7,65 +7,65 @@
 use std::io::ErrorKind;
 use tokio::io::AsyncReadExt;
 
-/// The least that a buffer has room for before more is read, in bytes: enough for a typical reply without a row.
+/// Minimum free capacity of a buffer before a read, in bytes: enough for a typical reply without a row.
 const MIN_READ: usize = 1024;
 
-/// What is done with a row whose value is long.
+/// How a row with a long value is handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum LongRows {
-    /// It is passed on while it arrives.
+    /// The row is streamed to the client while it arrives.
     PassOn,
-    /// It is read as a whole, as other messages are.
+    /// The row is read as a whole, like any other message.
     AsMessages,
 }
 
-/// What has been received of a reply.
+/// The part of a reply that has been received.
 pub(super) enum Received {
-    /// All of it.
+    /// The whole reply.
     Complete(CompleteReply),
-    /// All that stands before a row whose value is long.
+    /// The messages before a row with a long value, and the bytes of that row that have arrived.
     LongRow(LongRow),
 }
 
 /// A reply that has been read to its end.
 pub(super) struct CompleteReply {
-    /// What its messages say.
+    /// Content of the messages of the reply.
     pub(super) reply: Reply,
-    /// The messages of the row, as the host sent them.
+    /// Messages of the row, as the host sent them.
     pub(super) row: Buffer,
 }
 
-/// The beginning of a row whose value is long.
+/// The beginning of a row with a long value.
 pub(super) struct LongRow {
-    /// What the messages before it say.
+    /// Content of the messages before the row.
     pub(super) reply: Reply,
-    /// The messages that belong to the row and stand before its value.
+    /// Messages that precede the row and are passed on to the client with it, such as its description.
     pub(super) head: Buffer,
-    /// What has been read of the row so far.
+    /// Bytes that have been read from the beginning of the row on.
     pub(super) unread: Buffer,
-    /// The size of its message, in bytes.
+    /// Size of the row's message, in bytes.
     pub(super) length: usize,
 }
 
-/// Why a reply was not received.
+/// The reason why a reply could not be received.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReplyError {
-    /// The connection ended, failed or was silent for too long.
+    /// The connection was closed, failed, or delivered nothing for too long.
     #[error("the connection was lost")]
     ConnectionLost,
-    /// Its client takes no more of a long value.
+    /// The client has left, so that the rest of a long value can't be delivered.
     #[error("the client is gone")]
     ClientGone,
-    /// Not enough memory for large messages.
+    /// There was not enough buffer memory.
     #[error("no room for its answer")]
     NoRoom,
-    /// A long value arrived where none is passed on.
+    /// A long value arrived in reply to a query whose replies are not streamed.
     #[error("an unexpected long value")]
     UnexpectedLongValue,
-    /// An error arrived behind a row that had been passed on.
+    /// A streamed row was not followed by the end of a successful reply.
     #[error("an error after its row")]
     ErrorAfterRow,
-    /// What arrived is not in the protocol.
+    /// The bytes that arrived violate the protocol.
     #[error("{0}")]
     Malformed(&'static str),
 }
@@ -76,38 +76,39 @@
     }
 }
 
-/// A reply while it is read.
+/// Reads a reply from a connection.
 pub(super) struct ReplyReader {
     reply: Reply,
-    /// What has been read and does not make a whole message yet.
+    /// Bytes that have been read but not parsed, because they do not form a whole message yet.
     unread: Buffer,
-    /// The messages of the row.
+    /// Messages of the row that have been parsed.
     row: Buffer,
 }
 
-/// How far the bytes that have been read go.
+/// How far the bytes that have been read reach.
 enum Progress {
-    /// More has to be read.
+    /// More bytes must be read.
     Incomplete,
     /// The reply is complete.
     Complete,
-    /// A long row begins, whose message has this size in bytes.
+    /// The unread bytes begin with a long row, whose message has this size in bytes.
     LongRow(usize),
 }
 
 impl ReplyReader {
-    /// A reply of which nothing has been read, with two empty buffers for it.
+    /// Creates a reader for a new reply, with two empty buffers.
     pub(super) fn new(unread: Buffer, row: Buffer) -> Self {
         ReplyReader::resume(Reply::default(), unread, row)
     }
 
-    /// A reply of which some messages have been taken, and `unread` behind them.
+    /// Creates a reader for the rest of a reply whose first messages have been parsed; `unread` holds the bytes that
+    /// follow them.
     pub(super) fn resume(reply: Reply, unread: Buffer, row: Buffer) -> Self {
         ReplyReader { reply, unread, row }
     }
 
-    /// Reads messages up to ReadyForQuery, up to the end of the connection after an error, or up to a long row where those
-    /// are passed on.
+    /// Reads messages up to ReadyForQuery, or up to a long row if those are streamed. If the connection ends after an
+    /// error or a whole row, the reply counts as complete.
     pub(super) async fn read(
         mut self,
         connection: &mut Connection,
@@ -125,9 +126,9 @@
             }
             match connection.stream.read_buf(&mut *self.unread).await {
                 Ok(n) if n > 0 => {}
-                // A read that was interrupted says nothing of the host.
+                // An interrupted read says nothing about the host, so it is repeated.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // After an error or a whole row nothing else is needed.
+                // After an error or a whole row, no other message of the reply is needed.
                 _ if self.reply.error.is_some() || self.reply.served() => {
                     return Ok(self.complete())
                 }
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Takes the whole messages that have been read.
+    /// Parses the whole messages that have been read.
     fn take_messages(&mut self, long_rows: LongRows) -> Result<Progress, ReplyError> {
         let pass_on = long_rows == LongRows::PassOn;
         while !(pass_on && pg::may_begin_long_row(&self.unread)) {
@@ -155,7 +156,7 @@
             }
             self.unread.advance(end);
             if self.reply.ready {
-                // Bytes beyond the reply belong to no request: such a connection is not used again.
+                // If bytes follow the reply, which belong to no request, the connection is not reused.
                 self.reply.ready = self.unread.is_empty();
                 return Ok(Progress::Complete);
             }
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -1,4 +1,4 @@
-//! Long values: they are passed on to the client while they arrive, and are never held as a whole.
+//! Streaming of long values to the client while they arrive, without holding a whole value in memory.
 
 use crate::net::buffers::Buffer;
 use crate::net::pg::Reply;
@@ -11,32 +11,33 @@
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Chunks of a long value that wait for their client, besides the one that is being written to it. With more, the memory
-/// for a slow client would grow; with these, its host has to wait.
+/// Maximum number of chunks of a long value that are queued for a client, in addition to the one that is being written.
+/// While the queue is full, nothing more is read from the host, which bounds the memory that a slow client takes.
 const MAX_QUEUED_CHUNKS: usize = 2;
-/// A host that sends nothing for this time in the middle of a long value counts as lost: far longer than any pause
-/// between two packets.
+/// Time without any bytes from the host in the middle of a long value after which the connection counts as lost. It is
+/// far longer than any pause between two packets.
 const HOST_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer that is passed on while it arrives.
+/// An answer that is streamed to the client while it arrives.
 pub struct StreamedAnswer {
-    /// Its messages up to the first bytes of the value.
+    /// Messages of the answer up to the first bytes of the value.
     pub head: Buffer,
-    /// The rest. Where it ends without [`StreamChunk::Last`], the value is incomplete.
+    /// Channel for the rest of the answer. If it closes without [`StreamChunk::Last`], the value is incomplete.
     pub rest: mpsc::Receiver<StreamChunk>,
 }
 
-/// A part of an answer that is passed on.
+/// A part of a streamed answer.
 pub enum StreamChunk {
     /// Bytes of the value.
     Data(Buffer),
-    /// The value is complete, and these messages follow it.
+    /// The end of the value has been sent, and these messages follow it.
     Last(Buffer),
 }
 
 impl Upstream {
-    /// Passes a long value on while it arrives. The host sends as fast as the client takes it: no more is read than the
-    /// queue between them holds.
+    /// Streams a row with a long value to the client while it arrives, and reads the rest of the reply. `begin` is
+    /// called with the answer before the rest of the value is read. The client's speed limits the host's, because no
+    /// more is read from the host than the queue of chunks holds.
     pub(super) async fn pass_on(
         &self,
         connection: &mut Connection,
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Passes on the `missing` bytes of the value that have not arrived yet.
+    /// Streams the last `missing` bytes of the value, which have not arrived yet.
     async fn pass_value_on(
         &self,
         connection: &mut Connection,
@@ -94,7 +95,7 @@
     }
 }
 
-/// Queues a chunk, once there is room for it.
+/// Queues a chunk; waits while the queue is full.
 async fn send_chunk(
     chunks: &mpsc::Sender<StreamChunk>,
     chunk: StreamChunk,
