--- a/tests/unit/answer.rs
+++ b/tests/unit/answer.rs
@@ -1,4 +1,4 @@
-//! The final answer of a request.
+//! Tests of the final answer to a request.
 
 use super::*;
 
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -1,11 +1,11 @@
-//! Request classes while settings change.
+//! Tests of the request classes when the settings change.
 
 use super::*;
 use irisrouter::platform_settings::NameTable;
 use irisrouter::routing::TimeDelta;
 
-/// A request that changes its class while it is in flight would be accounted to the wrong one, and slots that are never
-/// reused would pile up with each reload.
+/// Guards against two failures: a request whose class changes while it is in flight would be attributed to the wrong
+/// class, and slots that are never reused would accumulate with each reload.
 #[test]
 fn class_slot_is_reused_once_no_request_holds_it() {
     let text = include_str!("../gateway/settings.json");
@@ -20,7 +20,7 @@
     let slot = |name: &str| classes.find(name).map(|handle| handle.slot);
     let order = classes.find("order").expect("a class");
     assert_eq!((slot("read"), order.slot), (Some(0), 1));
-    // Changed while a request is in it: a slot of its own, which goes on from the estimates of the old one.
+    // A class that changes while a request uses it gets a new slot, which inherits the estimates of the old slot.
     let shorter = with(&|l| l.settings.classes[1].deadline = TimeDelta::from_nanos(7));
     assert_eq!(classes.swap(&shorter)[4], Some(1));
     assert_eq!(
@@ -30,9 +30,9 @@
     assert_eq!(
         classes.settings().classes[1].deadline,
         order.class.deadline,
-        "as the router has it"
+        "the router keeps the old class in slot 1"
     );
-    // The request is over: its slot is free, and so is that of a class that is gone.
+    // Once the request is finished, its slot is free, and so is the slot of a class that the new settings removed.
     drop(order);
     let mut names = NameTable::default();
     for name in ["read", "new", "own"] {
@@ -45,7 +45,7 @@
     assert_eq!(
         classes.swap(&other)[1],
         None,
-        "nothing is known of a new class"
+        "a new class inherits no estimates"
     );
     assert_eq!(
         (slot("new"), slot("order"), slot("once")),
@@ -59,8 +59,8 @@
     assert!(classes.settings().classes.len() < 8);
 }
 
-/// A shutdown must neither take its times from a deadline that new settings have removed, nor end before a request whose
-/// own deadline is longer.
+/// A shutdown must neither wait for a deadline that new settings have removed, nor end before a request in flight that
+/// still has a longer deadline.
 #[test]
 fn longest_wait_after_a_reload_follows_new_settings_but_requests_in_flight_keep_theirs() {
     let text = include_str!("../gateway/settings.json");
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -1,4 +1,4 @@
-//! Parsing of the load reports of database hosts.
+//! Tests of the parser for load reports of database hosts.
 
 use super::*;
 
@@ -32,7 +32,7 @@
     );
 }
 
-/// Numbers must not overflow, and a position from the future could not be taken back by any later one.
+/// Numbers must not overflow. A position in the future must be rejected, because no later position could correct it.
 #[test]
 fn load_report_values_that_cannot_be_true_are_left_out() {
     let now = unix_milliseconds(1_767_225_600_000);
