--- a/src/net/request/answer.rs
+++ b/src/net/request/answer.rs
@@ -28,27 +28,27 @@
 /// The answer that a client is waiting for, until it is sent or the client leaves.
 pub(super) struct PendingAnswer {
     /// `None` once the answer has been sent or the client has left.
-    client: Option<oneshot::Sender<Answer>>,
+    sender: Option<oneshot::Sender<Answer>>,
     metrics: Rc<Metrics>,
 }
 
 impl PendingAnswer {
-    /// Creates a pending answer for the client that holds the receiver of `client`.
-    pub(super) fn new(client: oneshot::Sender<Answer>, metrics: Rc<Metrics>) -> Self {
+    /// Creates a pending answer for the client that holds the receiver of `sender`.
+    pub(super) fn new(sender: oneshot::Sender<Answer>, metrics: Rc<Metrics>) -> Self {
         PendingAnswer {
-            client: Some(client),
+            sender: Some(sender),
             metrics,
         }
     }
 
     /// Returns whether the client is still waiting for its answer.
     pub(super) fn is_pending(&self) -> bool {
-        self.client.is_some()
+        self.sender.is_some()
     }
 
     /// Sends and counts the answer if the client is still waiting for one. Returns whether it was.
     pub(super) fn send(&mut self, answer: Answer) -> bool {
-        let Some(client) = self.client.take() else {
+        let Some(sender) = self.sender.take() else {
             return false;
         };
         let requests = &self.metrics.requests;
@@ -58,19 +58,19 @@
             Answer::Failed => &requests.failed,
         });
         // Sending fails if the client has just left; it needs no answer then.
-        let _ = client.send(answer);
+        let _ = sender.send(answer);
         true
     }
 
     /// Records that the client has left, so that no answer is sent any more.
     pub(super) fn abandon(&mut self) {
-        self.client = None;
+        self.sender = None;
     }
 
     /// Waits until the client leaves. Never completes once the answer has been sent or the request has been abandoned.
     pub(super) async fn client_gone(&mut self) {
-        match &mut self.client {
-            Some(client) => client.closed().await,
+        match &mut self.sender {
+            Some(sender) => sender.closed().await,
             None => std::future::pending().await,
         }
     }
--- a/src/net/request/attempts.rs
+++ b/src/net/request/attempts.rs
@@ -68,7 +68,7 @@
     resend_window: Option<Duration>,
     /// Set once the request has been answered or its client has left. An attempt that was started earlier, but whose
     /// connection is ready only afterwards, is then not sent.
-    request_over: Rc<Cell<bool>>,
+    request_finished: Rc<Cell<bool>>,
     write_intent: Option<Rc<WriteIntent>>,
     context: Rc<RequestContext>,
 }
@@ -89,15 +89,15 @@
             stream_sender,
             statement: Rc::new(statement),
             resend_window,
-            request_over: Rc::new(Cell::new(false)),
+            request_finished: Rc::new(Cell::new(false)),
             write_intent,
             context,
         }
     }
 
     /// Sets whether the request is finished. While it is, no attempt is sent.
-    pub(super) fn set_request_over(&self, over: bool) {
-        self.request_over.set(over);
+    pub(super) fn set_request_finished(&self, finished: bool) {
+        self.request_finished.set(finished);
     }
 
     /// Starts an attempt, which ends `timeout` from now at the latest.
@@ -105,13 +105,13 @@
         let attempt = AttemptTask {
             context: Rc::clone(&self.context),
             statement: Rc::clone(&self.statement),
-            request_over: Rc::clone(&self.request_over),
+            request_finished: Rc::clone(&self.request_finished),
             stream_sender: self.stream_sender.clone(),
             write_intent: self.write_intent.clone(),
-            number: self.started.len(),
+            attempt_number: self.started.len(),
             member,
             timeout,
-            send_by: self.resend_deadline(),
+            send_deadline: self.resend_deadline(),
         };
         let task = self.running.spawn_local(attempt.run());
         self.started.push(StartedAttempt {
@@ -139,7 +139,7 @@
     }
 
     /// Returns the attempt that a joined task ran, with its result. An aborted task counts as cancelled.
-    pub(super) fn ended(&self, joined: JoinedAttempt) -> Option<EndedAttempt> {
+    pub(super) fn ended_attempt(&self, joined: JoinedAttempt) -> Option<EndedAttempt> {
         let (task, result) = match joined {
             Ok((task, result)) => (task, result),
             Err(error) => (error.id(), Outcome::Cancelled.into()),
@@ -156,25 +156,25 @@
 struct AttemptTask {
     context: Rc<RequestContext>,
     statement: Rc<Statement>,
-    request_over: Rc<Cell<bool>>,
+    request_finished: Rc<Cell<bool>>,
     stream_sender: UnboundedSender<StartedStream>,
     write_intent: Option<Rc<WriteIntent>>,
-    number: usize,
+    attempt_number: usize,
     member: MemberId,
     /// Time from the start of the attempt to its latest end.
     timeout: TimeDelta,
     /// The attempt is not sent after this time; `None` for no limit.
-    send_by: Option<Instant>,
+    send_deadline: Option<Instant>,
 }
 
 impl AttemptTask {
     /// Records the write intent where there is one, then sends the statement and waits for the result.
     async fn run(self) -> AttemptResult {
         // The router needs a result for each attempt that it started, so one that is not sent returns a result too.
-        if self.request_over.get() {
+        if self.request_finished.get() {
             return Outcome::NotSent.into();
         }
-        let asked_at = Instant::now();
+        let task_started_at = Instant::now();
         if let Some(write_intent) = &self.write_intent {
             // The write is sent only after other gateways have recorded its intent. A gateway without that record would
             // send a retry of the write even after the resend window.
@@ -183,15 +183,15 @@
             }
         }
         // The time that recording the write intent took counts towards the timeout.
-        let timeout = self.timeout - time_delta(asked_at.elapsed());
+        let timeout = self.timeout - time_delta(task_started_at.elapsed());
         let outgoing = OutgoingStatement {
             member: self.member,
             statement: &self.statement,
             deadline: Instant::now() + duration(timeout),
         };
-        let pass_on = |answer| {
+        let on_stream = |answer| {
             let stream = StartedStream {
-                attempt: self.number,
+                attempt: self.attempt_number,
                 answer,
             };
             // Sending fails if the request has ended; dropping the answer then ends the stream.
@@ -199,13 +199,13 @@
         };
         let upstream = &self.context.upstream;
         upstream
-            .attempt(outgoing, || self.may_be_sent(), pass_on)
+            .attempt(outgoing, || self.may_be_sent(), on_stream)
             .await
     }
 
     /// Returns whether the attempt may still be sent; asked when its connection is ready.
     fn may_be_sent(&self) -> bool {
-        let in_time = |send_by| Instant::now() < send_by;
-        !self.request_over.get() && self.send_by.is_none_or(in_time)
+        let in_time = |deadline| Instant::now() < deadline;
+        !self.request_finished.get() && self.send_deadline.is_none_or(in_time)
     }
 }
--- a/src/net/request/classes.rs
+++ b/src/net/request/classes.rs
@@ -84,11 +84,11 @@
     pub fn swap(&self, loaded: &PlatformSettings) -> Vec<Option<usize>> {
         let mut slots = self.slots.borrow_mut();
         let mut by_name = self.by_name.borrow_mut();
-        let old = std::mem::take(&mut *by_name);
+        let previous_by_name = std::mem::take(&mut *by_name);
         let mut previous_slots: Vec<Option<usize>> = (0..slots.len()).map(Some).collect();
         let mut changed = Vec::new();
         for (name, class) in loaded.classes.iter().zip(&loaded.settings.classes) {
-            let previous = old.get(name);
+            let previous = previous_by_name.get(name);
             match previous.filter(|handle| handle.class == *class) {
                 Some(handle) => drop(by_name.insert(name.to_string(), Rc::clone(handle))),
                 None => changed.push(ChangedClass {
@@ -99,7 +99,7 @@
             }
         }
         // Dropped before free slots are searched, so that slots which only the old names held count as free.
-        drop(old);
+        drop(previous_by_name);
         for changed in changed {
             let slot = free_slot(&slots);
             let handle = Rc::new(ClassHandle {
--- a/src/net/request/lifecycle.rs
+++ b/src/net/request/lifecycle.rs
@@ -40,7 +40,7 @@
         let deadline = self.answer_deadline(request.timeout);
         match self.check_earlier_attempts(&request, deadline).await {
             Ok(checked) => Lifecycle::begin(self, request, checked, answer).run().await,
-            Err(ResendError::WindowOver | ResendError::Unproven) => {
+            Err(ResendError::WindowExpired | ResendError::Unproven) => {
                 answer.send(Answer::Failed);
             }
         }
@@ -68,12 +68,12 @@
     answer: PendingAnswer,
     attempts: Attempts,
     /// Number of the attempt whose long answer is being streamed to the client.
-    streaming: Option<usize>,
+    streaming_attempt: Option<usize>,
     write_intent: Option<Rc<WriteIntent>>,
     /// Time at which the request fails if the router has not decided.
     decision_deadline: Instant,
     /// Receives the shutdown deadlines once the gateway shuts down, because answers may then be due earlier. `None` if
-    /// the shutdown had begun when the request arrived: its deadline takes the shutdown into account already.
+    /// the shutdown had begun when the request arrived_at: its deadline takes the shutdown into account already.
     shutdown: Option<watch::Receiver<Option<ShutdownDeadlines>>>,
     // The id and the class are held until the last attempt has ended.
     _open_id: OpenId,
@@ -81,7 +81,7 @@
 }
 
 /// An event in the lifecycle of a request.
-enum Step {
+enum LifecycleEvent {
     /// A long answer has begun to arrive.
     StreamStarted(StartedStream),
     /// An attempt has ended.
@@ -112,7 +112,7 @@
         checked: CheckedRequest,
         answer: PendingAnswer,
     ) -> Self {
-        let arrived = context.clock.now();
+        let arrived_at = context.clock.now();
         let now = Instant::now();
         let until_deadline = checked.deadline.saturating_duration_since(now);
         let decision_time = until_deadline.saturating_sub(DECISION_MARGIN);
@@ -122,10 +122,12 @@
             class: request.class.slot,
             tenant: None,
             session: request.session,
-            deadline: arrived + time_delta(decision_time),
+            deadline: arrived_at + time_delta(decision_time),
             work: None,
             group: request.group,
-            last_write_age: request.minimum_position.map(|position| arrived - position),
+            last_write_age: request
+                .minimum_position
+                .map(|position| arrived_at - position),
             retry: request.retry,
         });
         let write_intent = checked.write_intent.map(Rc::new);
@@ -139,10 +141,10 @@
                 resend_window(&request.class.class),
                 write_intent.clone(),
             ),
-            streaming: None,
+            streaming_attempt: None,
             write_intent,
             decision_deadline: (checked.deadline - ANSWER_MARGIN).max(now + MIN_DECISION_TIME),
-            shutdown: shutdown_notice(&context),
+            shutdown: subscribe_to_shutdown(&context),
             context,
             _open_id: request.id,
             _class: request.class,
@@ -152,17 +154,18 @@
     /// Runs until the answer has been sent or the client has left, and the last attempt has ended.
     async fn run(mut self) {
         while self.answer.is_pending() || !self.attempts.running.is_empty() {
-            self.attempts.set_request_over(!self.answer.is_pending());
-            match self.next_step().await {
-                Step::StreamStarted(stream) => self.on_stream_started(stream),
-                Step::AttemptEnded(joined) => {
-                    if let Some(ended) = self.attempts.ended(joined) {
+            self.attempts
+                .set_request_finished(!self.answer.is_pending());
+            match self.next_event().await {
+                LifecycleEvent::StreamStarted(stream) => self.on_stream_started(stream),
+                LifecycleEvent::AttemptEnded(joined) => {
+                    if let Some(ended) = self.attempts.ended_attempt(joined) {
                         self.on_attempt_ended(ended);
                     }
                 }
-                Step::ClientGone => self.on_client_gone(),
-                Step::Command(command) => self.on_command(command),
-                Step::DecisionTimedOut => self.on_decision_timed_out(),
+                LifecycleEvent::ClientGone => self.on_client_gone(),
+                LifecycleEvent::Command(command) => self.on_command(command),
+                LifecycleEvent::DecisionTimedOut => self.on_decision_timed_out(),
             }
         }
         if let Some(write_intent) = &self.write_intent {
@@ -173,19 +176,19 @@
     }
 
     /// Waits for the next event. Of the events that are ready at the same time, the one listed first is returned.
-    async fn next_step(&mut self) -> Step {
+    async fn next_event(&mut self) -> LifecycleEvent {
         let pending = self.answer.is_pending();
         tokio::select! {
             biased;
             // First, because once a stream has begun no further attempt is needed and no deadline applies.
-            Some(stream) = self.attempts.streams.recv() => Step::StreamStarted(stream),
-            Some(joined) = self.attempts.running.join_next_with_id() => Step::AttemptEnded(joined),
+            Some(stream) = self.attempts.streams.recv() => LifecycleEvent::StreamStarted(stream),
+            Some(joined) = self.attempts.running.join_next_with_id() => LifecycleEvent::AttemptEnded(joined),
             // Before the router's commands, so that no attempt is started for a client that has left.
-            () = self.answer.client_gone() => Step::ClientGone,
-            Some(command) = self.commands.recv() => Step::Command(command),
+            () = self.answer.client_gone() => LifecycleEvent::ClientGone,
+            Some(command) = self.commands.recv() => LifecycleEvent::Command(command),
             // Last resort, so that the client gets an answer even if the router does not decide in time.
             () = decision_timeout(&mut self.shutdown, self.decision_deadline), if pending => {
-                Step::DecisionTimedOut
+                LifecycleEvent::DecisionTimedOut
             }
         }
     }
@@ -197,7 +200,7 @@
         if !self.answer.send(Answer::Streamed(answer)) {
             return;
         }
-        self.streaming = Some(attempt);
+        self.streaming_attempt = Some(attempt);
         let started = &self.attempts.started[attempt];
         self.post_attempt_ended(AttemptEnd {
             attempt,
@@ -213,7 +216,7 @@
         if let Some(write_intent) = &self.write_intent {
             write_intent.attempt_ended(result.outcome);
         }
-        if self.streaming == Some(attempt) {
+        if self.streaming_attempt == Some(attempt) {
             // The end of this attempt was posted to the router when its stream began.
             if result.outcome != Outcome::Ok {
                 increment(&self.context.metrics.requests.truncated);
@@ -261,7 +264,8 @@
     /// it may have run there.
     fn reject(&mut self, retry_after: TimeDelta) {
         let write_intent = self.write_intent.as_ref();
-        let may_have_run = write_intent.is_some_and(|intent| intent.sent_by_another_gateway());
+        let may_have_run =
+            write_intent.is_some_and(|intent| intent.maybe_sent_by_another_gateway());
         self.answer.send(if may_have_run {
             Answer::Failed
         } else {
@@ -308,10 +312,12 @@
 }
 
 /// Subscribes to the shutdown deadlines. Returns `None` if the shutdown has already begun.
-fn shutdown_notice(context: &RequestContext) -> Option<watch::Receiver<Option<ShutdownDeadlines>>> {
+fn subscribe_to_shutdown(
+    context: &RequestContext,
+) -> Option<watch::Receiver<Option<ShutdownDeadlines>>> {
     let notice = context.shutdown.subscribe();
-    let is_known = notice.borrow().is_some();
-    (!is_known).then_some(notice)
+    let has_begun = notice.borrow().is_some();
+    (!has_begun).then_some(notice)
 }
 
 /// Waits until the deadline of a decision, or until the shutdown's deadline for answers where that is earlier.
@@ -332,8 +338,8 @@
     tokio::select! {
         biased;
         answer_by = answer_by => {
-            let due = answer_by.map_or(deadline, |by| deadline.min(by - ANSWER_MARGIN));
-            sleep_until(due).await;
+            let earlier_deadline = answer_by.map_or(deadline, |by| deadline.min(by - ANSWER_MARGIN));
+            sleep_until(earlier_deadline).await;
         }
         () = sleep_until(deadline) => {}
     }
--- a/src/net/request/write_intent.rs
+++ b/src/net/request/write_intent.rs
@@ -20,8 +20,8 @@
 pub(super) enum ResendError {
     /// Another gateway may have sent the write, and the time in which hosts discard a repeated write has passed or is
     /// about to.
-    #[error("the write may have run at another gateway, and its resend window is over")]
-    WindowOver,
+    #[error("the write may have run at another gateway, and its resend window has expired")]
+    WindowExpired,
     /// Too few of the gateways that would have a record of an earlier attempt have answered.
     #[error("too few gateways answered whether the write may have run")]
     Unproven,
@@ -30,8 +30,8 @@
 /// Whether the write intent has been recorded at its replicas.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum RecordState {
-    NotTried,
-    Tried,
+    Unrecorded,
+    MaybeRecorded,
     Recorded,
 }
 
@@ -40,7 +40,7 @@
     write_intents: Rc<WriteIntentService>,
     key: KeyHash,
     /// Time from which on an earlier attempt of another gateway may have run; `None` if there is no such attempt.
-    earlier_attempt: Option<UnixMilliseconds>,
+    earlier_attempt_sent_at: Option<UnixMilliseconds>,
     record_state: Cell<RecordState>,
     /// Whether an attempt of this gateway may have run.
     may_have_run: Cell<bool>,
@@ -52,8 +52,8 @@
         WriteIntent {
             write_intents: Rc::clone(write_intents),
             key,
-            earlier_attempt: None,
-            record_state: Cell::new(RecordState::NotTried),
+            earlier_attempt_sent_at: None,
+            record_state: Cell::new(RecordState::Unrecorded),
             may_have_run: Cell::new(false),
         }
     }
@@ -63,23 +63,23 @@
     ///
     /// # Errors
     ///
-    /// [`ResendError::WindowOver`] if that time has passed or is less than [`MIN_TIME_TO_RESEND`] away.
+    /// [`ResendError::WindowExpired`] if that time has passed or is less than [`MIN_TIME_TO_RESEND`] away.
     pub(super) fn resend_deadline(
         &mut self,
         first_sent_at: UnixMilliseconds,
         class: &RequestClass,
         connect_timeout: Duration,
     ) -> Result<Instant, ResendError> {
-        self.earlier_attempt = Some(first_sent_at);
+        self.earlier_attempt_sent_at = Some(first_sent_at);
         let remaining = remaining_window(first_sent_at, class, connect_timeout)
             .filter(|&remaining| remaining > MIN_TIME_TO_RESEND)
-            .ok_or(ResendError::WindowOver)?;
+            .ok_or(ResendError::WindowExpired)?;
         Ok(Instant::now() + remaining)
     }
 
     /// Returns whether another gateway may have sent the write.
-    pub(super) const fn sent_by_another_gateway(&self) -> bool {
-        self.earlier_attempt.is_some()
+    pub(super) const fn maybe_sent_by_another_gateway(&self) -> bool {
+        self.earlier_attempt_sent_at.is_some()
     }
 
     /// Records the intent, unless it is already recorded. Called before an attempt is sent. Returns whether the intent
@@ -88,9 +88,9 @@
         if self.record_state.get() == RecordState::Recorded {
             return true;
         }
-        self.record_state.set(RecordState::Tried);
+        self.record_state.set(RecordState::MaybeRecorded);
         let first_sent_at = self
-            .earlier_attempt
+            .earlier_attempt_sent_at
             .unwrap_or_else(|| UnixMilliseconds(unix_milliseconds()));
         if self.write_intents.record(self.key, first_sent_at).await {
             self.record_state.set(RecordState::Recorded);
@@ -109,8 +109,8 @@
     /// Withdraws the intent if it may have been recorded and no attempt of this gateway may have run. Called when all
     /// attempts have ended.
     pub(super) fn all_attempts_ended(&self) {
-        let recorded_somewhere = self.record_state.get() != RecordState::NotTried;
-        if recorded_somewhere && !self.may_have_run.get() {
+        let maybe_recorded = self.record_state.get() != RecordState::Unrecorded;
+        if maybe_recorded && !self.may_have_run.get() {
             self.write_intents.withdraw(self.key);
         }
     }
--- a/src/net/router_task.rs
+++ b/src/net/router_task.rs
@@ -54,9 +54,9 @@
     /// Events that were posted and that the router task has not taken yet, in order.
     events: RefCell<Vec<Event>>,
     /// Wakes the router task.
-    ready: Notify,
+    wakeup: Notify,
     /// Command channel of each registered request.
-    requests: RefCell<HashMap<RequestId, UnboundedSender<RequestCommand>>>,
+    command_senders: RefCell<HashMap<RequestId, UnboundedSender<RequestCommand>>>,
     next_request: Cell<u64>,
     snapshot_requests: RefCell<Vec<oneshot::Sender<RoutingSnapshot>>>,
 }
@@ -65,14 +65,14 @@
     /// Posts an event, which the router processes in its next batch.
     pub fn post(&self, event: Event) {
         self.events.borrow_mut().push(event);
-        self.ready.notify_one();
+        self.wakeup.notify_one();
     }
 
     /// Returns a snapshot of what the router has observed; an empty one if the router task has ended.
     pub async fn snapshot(&self) -> RoutingSnapshot {
         let (sender, snapshot) = oneshot::channel();
         self.snapshot_requests.borrow_mut().push(sender);
-        self.ready.notify_one();
+        self.wakeup.notify_one();
         snapshot.await.unwrap_or_default()
     }
 
@@ -81,30 +81,30 @@
         let id = RequestId(self.next_request.get());
         self.next_request.set(id.0 + 1);
         let (sender, commands) = unbounded_channel();
-        self.requests.borrow_mut().insert(id, sender);
+        self.command_senders.borrow_mut().insert(id, sender);
         RegisteredRequest { id, commands }
     }
 
     /// Removes a finished request, so that no further command is sent to it.
     pub fn unregister(&self, id: RequestId) {
-        self.requests.borrow_mut().remove(&id);
+        self.command_senders.borrow_mut().remove(&id);
     }
 
     /// Returns the number of registered requests, including answered ones that still have attempts in flight.
     pub fn open_requests(&self) -> usize {
-        self.requests.borrow().len()
+        self.command_senders.borrow().len()
     }
 
     fn deliver(&self, id: RequestId, command: RequestCommand) {
         // Commands for an unregistered request are dropped: its task has already posted the end of each attempt.
-        if let Some(commands) = self.requests.borrow().get(&id) {
-            let _ = commands.send(command);
+        if let Some(sender) = self.command_senders.borrow().get(&id) {
+            let _ = sender.send(command);
         }
     }
 
     fn answer_snapshot_requests(&self, router: &Router) {
-        for requester in self.snapshot_requests.take() {
-            let _ = requester.send(router.snapshot());
+        for sender in self.snapshot_requests.take() {
+            let _ = sender.send(router.snapshot());
         }
     }
 }
@@ -118,10 +118,10 @@
 ) {
     let mut timer: Option<Instant> = None;
     loop {
-        let due = timer;
+        let deadline = timer;
         tokio::select! {
-            () = handle.ready.notified() => {}
-            () = async { sleep_until(due.unwrap_or_else(Instant::now)).await }, if due.is_some() => {
+            () = handle.wakeup.notified() => {}
+            () = async { sleep_until(deadline.unwrap_or_else(Instant::now)).await }, if deadline.is_some() => {
                 timer = None;
                 handle.events.borrow_mut().push(Event::TimerFired);
             }
@@ -134,7 +134,7 @@
         for action in router.batch(clock.now(), &events) {
             if let Some(requested) = carry_out(action, &handle, &upstream) {
                 // Only the earliest timer is kept: each time a timer fires, the router sets another one if it needs it.
-                timer = Some(timer.map_or(requested, |set| set.min(requested)));
+                timer = Some(timer.map_or(requested, |current| current.min(requested)));
             }
         }
     }
--- a/src/net/upstream/attempt.rs
+++ b/src/net/upstream/attempt.rs
@@ -1,10 +1,11 @@
-//! One attempt of a request: a statement is sent to a host, and the outcome says whether it ran or may have run.
+//! One attempt of a request: a statement is sent to a host, and the outcome says whether it ran, never ran or may have
+//! run.
 
 use crate::net::buffers::Buffer;
 use crate::net::pg::{self, code, Reply};
 use crate::net::upstream::exchange::Query;
 use crate::net::upstream::load_report::replication_status;
-use crate::net::upstream::reachability::SentKind;
+use crate::net::upstream::reachability::ExchangeKind;
 use crate::net::upstream::registry::Upstream;
 use crate::net::upstream::response_stream::StreamedAnswer;
 use irisrouter::routing::{MemberId, Outcome, ReplicationStatus};
@@ -12,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Size of a query message without its statement, in bytes: type, length and terminator, rounded up.
-const QUERY_OVERHEAD: usize = 16;
+const QUERY_OVERHEAD_BYTES: usize = 16;
 
 /// The statement of a request. It is sent unchanged, except that its timeout is replaced by the remaining time.
 pub struct Statement {
@@ -55,18 +56,18 @@
 
 impl Upstream {
     /// Sends a statement to a host and waits for its reply until the deadline. `may_be_sent` is called once a
-    /// connection is ready; if it returns false, nothing is sent. When a long reply begins, it is given to `pass_on`;
+    /// connection is ready; if it returns false, nothing is sent. When a long reply begins, it is given to `on_stream`;
     /// the deadline doesn't apply to the rest of that reply.
     pub async fn attempt(
         &self,
         outgoing: OutgoingStatement<'_>,
         may_be_sent: impl Fn() -> bool,
-        pass_on: impl FnOnce(StreamedAnswer),
+        on_stream: impl FnOnce(StreamedAnswer),
     ) -> AttemptResult {
         let member = outgoing.member;
-        let result = self.send_statement(outgoing, may_be_sent, pass_on).await;
+        let result = self.send_statement(outgoing, may_be_sent, on_stream).await;
         self.metrics.record_attempt(result.outcome);
-        self.record_result(member, result.outcome, SentKind::Request);
+        self.record_result(member, result.outcome, ExchangeKind::Request);
         result
     }
 
@@ -74,7 +75,7 @@
         &self,
         outgoing: OutgoingStatement<'_>,
         may_be_sent: impl Fn() -> bool,
-        pass_on: impl FnOnce(StreamedAnswer),
+        on_stream: impl FnOnce(StreamedAnswer),
     ) -> AttemptResult {
         let OutgoingStatement {
             member,
@@ -101,15 +102,15 @@
             message,
             deadline,
         };
-        let answer = match self.exchange(query, Some(pass_on)).await {
-            Ok(answer) => answer,
+        let query_reply = match self.exchange(query, Some(on_stream)).await {
+            Ok(query_reply) => query_reply,
             Err(outcome) => return outcome.into(),
         };
-        let outcome = reply_outcome(&answer.reply);
+        let outcome = reply_outcome(&query_reply.reply);
         AttemptResult {
             outcome,
-            status: replication_status(&answer.reply, self.clock.now()),
-            row: answer.row.filter(|_| outcome == Outcome::Ok),
+            status: replication_status(&query_reply.reply, self.clock.now()),
+            row: query_reply.row.filter(|_| outcome == Outcome::Ok),
         }
     }
 
@@ -117,9 +118,9 @@
     /// enough buffer memory.
     fn query_message(&self, statement: &Statement, deadline: Instant) -> Option<Buffer> {
         let mut message = self.buffers.acquire();
-        let left = deadline.saturating_duration_since(Instant::now());
-        let milliseconds = left.as_millis().max(1).to_string();
-        if !message.try_reserve(statement.text.len() + milliseconds.len() + QUERY_OVERHEAD) {
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        let milliseconds = remaining.as_millis().max(1).to_string();
+        if !message.try_reserve(statement.text.len() + milliseconds.len() + QUERY_OVERHEAD_BYTES) {
             return None;
         }
         let timeout_range = &statement.timeout_range;
--- a/src/net/upstream/connection.rs
+++ b/src/net/upstream/connection.rs
@@ -4,7 +4,7 @@
 use crate::net::pg::{self, code};
 use crate::net::upstream::host::CountGuard;
 use crate::net::upstream::registry::Upstream;
-use crate::net::upstream::reply::{LongRows, Received, ReplyReader};
+use crate::net::upstream::reply::{LongRowHandling, Received, ReplyReader};
 use crate::net::{read_now, write_all};
 use irisrouter::routing::{MemberId, Outcome};
 use std::io;
@@ -102,7 +102,9 @@
             _slot: slot,
         };
         let reader = ReplyReader::new(buffer, self.buffers.acquire());
-        let received = reader.read(&mut connection, LongRows::AsMessages).await;
+        let received = reader
+            .read(&mut connection, LongRowHandling::ReadWhole)
+            .await;
         let Ok(Received::Complete(complete)) = received else {
             return Err(Outcome::ConnectFailed);
         };
--- a/src/net/upstream/drains.rs
+++ b/src/net/upstream/drains.rs
@@ -95,8 +95,8 @@
         for host in self.hosts.values_mut() {
             let is_drained = drained.contains(&host.fleet_id);
             if host.drained != is_drained {
-                // Also for a host that is out of service in the list; otherwise the mark would be stale when it
-                // returns.
+                // Also for a host that is out of service in the list; otherwise an outdated mark would remain when the
+                // list puts the host back into service.
                 host.drained = is_drained;
                 if host.in_service() {
                     changed.push(host.entry.clone());
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -5,7 +5,7 @@
 use crate::net::pg::Reply;
 use crate::net::upstream::connection::Connection;
 use crate::net::upstream::registry::Upstream;
-use crate::net::upstream::reply::{LongRows, Received, ReplyError, ReplyReader};
+use crate::net::upstream::reply::{LongRowHandling, Received, ReplyError, ReplyReader};
 use crate::net::upstream::response_stream::StreamedAnswer;
 use crate::net::write_all;
 use irisrouter::routing::{MemberId, Outcome};
@@ -32,7 +32,7 @@
 }
 
 impl Upstream {
-    /// Writes a query and reads its reply. A long reply is streamed to `pass_on`; without `pass_on`, it is read as a
+    /// Writes a query and reads its reply. A long reply is streamed to `on_stream`; without `on_stream`, it is read as a
     /// whole. The connection is reused only after a complete reply.
     ///
     /// # Errors
@@ -42,7 +42,7 @@
     pub(super) async fn exchange(
         &self,
         query: Query,
-        pass_on: Option<impl FnOnce(StreamedAnswer)>,
+        on_stream: Option<impl FnOnce(StreamedAnswer)>,
     ) -> Result<QueryReply, Outcome> {
         let Query {
             member,
@@ -55,17 +55,19 @@
             return Err(Outcome::ConnectFailed);
         }
         buffer.clear();
-        let long_rows = match pass_on {
-            Some(_) => LongRows::PassOn,
-            None => LongRows::AsMessages,
+        let long_row_handling = match on_stream {
+            Some(_) => LongRowHandling::Stream,
+            None => LongRowHandling::ReadWhole,
         };
         let reader = ReplyReader::new(buffer, self.buffers.acquire());
-        let reading = reader.read(&mut connection, long_rows);
+        let reading = reader.read(&mut connection, long_row_handling);
         let received = timeout_at(deadline, reading)
             .await
             .map_err(|_| Outcome::TimedOut)?;
-        let result = self.finish_reply(&mut connection, received, pass_on).await;
-        let reply = result.map_err(|error| self.failed_reply(member, &error))?;
+        let result = self
+            .finish_reply(&mut connection, received, on_stream)
+            .await;
+        let reply = result.map_err(|error| self.outcome_without_reply(member, &error))?;
         if reply.reply.ready {
             self.check_in(member, connection);
         }
@@ -77,15 +79,15 @@
         &self,
         connection: &mut Connection,
         received: Result<Received, ReplyError>,
-        pass_on: Option<impl FnOnce(StreamedAnswer)>,
+        on_stream: Option<impl FnOnce(StreamedAnswer)>,
     ) -> Result<QueryReply, ReplyError> {
-        match (received?, pass_on) {
+        match (received?, on_stream) {
             (Received::Complete(complete), _) => Ok(QueryReply {
                 reply: complete.reply,
                 row: Some(complete.row),
             }),
-            (Received::LongRow(row), Some(pass_on)) => {
-                let reply = self.pass_on(connection, row, pass_on).await?;
+            (Received::LongRow(row), Some(on_stream)) => {
+                let reply = self.stream_row(connection, row, on_stream).await?;
                 Ok(QueryReply { reply, row: None })
             }
             (Received::LongRow(_), None) => Err(ReplyError::UnexpectedLongValue),
@@ -94,11 +96,11 @@
 
     /// Returns the outcome of an attempt whose query was written but whose reply was not received, and logs a protocol
     /// error or lack of memory.
-    fn failed_reply(&self, member: MemberId, error: &ReplyError) -> Outcome {
+    fn outcome_without_reply(&self, member: MemberId, error: &ReplyError) -> Outcome {
         match error {
             ReplyError::ConnectionLost => Outcome::Reset,
             ReplyError::ClientGone => Outcome::Cancelled,
-            ReplyError::NoRoom
+            ReplyError::OutOfMemory
             | ReplyError::UnexpectedLongValue
             | ReplyError::ErrorAfterRow
             | ReplyError::Malformed(_) => {
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -5,7 +5,7 @@
 use crate::net::time_delta;
 use crate::net::upstream::exchange::{Query, QueryReply};
 use crate::net::upstream::load_report::parse_load_report;
-use crate::net::upstream::reachability::SentKind;
+use crate::net::upstream::reachability::ExchangeKind;
 use crate::net::upstream::registry::Upstream;
 use crate::net::upstream::response_stream::StreamedAnswer;
 use irisrouter::routing::{Event, LoadReport, MemberId, Outcome};
@@ -67,7 +67,7 @@
         let start = Instant::now();
         let deadline = start + self.connect_timeout();
         let reply = match self.send_health_check(member, fence, deadline).await {
-            Ok(answer) => self.health_check_reply(&answer.reply, fence),
+            Ok(query_reply) => self.health_check_reply(&query_reply.reply, fence),
             Err(outcome) => outcome.into(),
         };
         // A check whose whole timeout passed while it waited for a connection counts as unanswered for reachability.
@@ -79,7 +79,7 @@
         } else {
             reply.outcome
         };
-        self.record_result(member, reachability, SentKind::HealthCheck);
+        self.record_result(member, reachability, ExchangeKind::HealthCheck);
         let event = Event::HealthChecked {
             member,
             outcome: reply.outcome,
--- a/src/net/upstream/host.rs
+++ b/src/net/upstream/host.rs
@@ -92,10 +92,11 @@
             // A host that was drained before it was terminated still accepts no requests.
             EndpointPhase::Terminated => self.accepts_requests && only_listed_drains_bind,
         };
-        let last = &self.entry;
-        let moved = last.host_port != entry.host_port || last.up_since_ms != entry.up_since_ms;
-        let restarted = moved || entry.phase == EndpointPhase::Terminated;
-        self.incarnation += u64::from(restarted);
+        let previous = &self.entry;
+        let replaced =
+            previous.host_port != entry.host_port || previous.up_since_ms != entry.up_since_ms;
+        let is_new_incarnation = replaced || entry.phase == EndpointPhase::Terminated;
+        self.incarnation += u64::from(is_new_incarnation);
         self.entry = entry.clone();
     }
 
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -114,7 +114,7 @@
     pub fn close_idle(&self) {
         while self.total_connections() > self.limits.max_connections && self.close_longest_idle() {}
         let mut registry = self.registry.borrow_mut();
-        registry.forget_removed_hosts();
+        registry.delete_removed_hosts();
         let idle_timeout = self.limits.idle_timeout.get();
         registry.idle.retain(|connection| {
             connection.idle_since.elapsed() < idle_timeout && connection.is_usable()
@@ -123,14 +123,15 @@
 }
 
 impl Registry {
-    fn forget_removed_hosts(&mut self) {
-        let is_old = |removed_at: Instant| removed_at.elapsed() >= REMOVED_HOST_RETENTION;
-        let forgotten = |host: &Host| !host.accepts_requests && host.removed_at.is_some_and(is_old);
+    fn delete_removed_hosts(&mut self) {
+        let has_expired = |removed_at: Instant| removed_at.elapsed() >= REMOVED_HOST_RETENTION;
+        let is_deletable =
+            |host: &Host| !host.accepts_requests && host.removed_at.is_some_and(has_expired);
         let removed = self.hosts.index().removed();
-        let forgotten: Vec<MemberId> = removed
-            .filter(|&member| self.hosts.get(member).is_some_and(forgotten))
+        let deletable: Vec<MemberId> = removed
+            .filter(|&member| self.hosts.get(member).is_some_and(is_deletable))
             .collect();
-        for member in forgotten {
+        for member in deletable {
             if let Some(host) = self.hosts.remove(member) {
                 self.members_by_name.remove(&host.entry.id);
             }
--- a/src/net/upstream/reachability.rs
+++ b/src/net/upstream/reachability.rs
@@ -14,7 +14,7 @@
 
 /// Kind of message that was sent to a host.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum SentKind {
+pub(super) enum ExchangeKind {
     /// An attempt of a client's request.
     Request,
     /// A health check.
@@ -29,9 +29,9 @@
     /// Number of failures since the last answer.
     consecutive_failures: u32,
     /// Number of requests that have ended since the last report.
-    sent: u16,
-    /// Number of requests in `sent` that the host served, or refused as unsuitable.
-    answered: u16,
+    requests_sent: u16,
+    /// Number of requests in `requests_sent` that the host served, or refused as unsuitable.
+    requests_served: u16,
 }
 
 /// What a result says about the reachability of a host.
@@ -40,34 +40,34 @@
     /// The host served the request, or reported that it is unsuitable for it.
     Served,
     /// The host answered with another error.
-    Answered,
+    ErrorReply,
     /// The host did not answer.
-    Silent,
+    NoReply,
 }
 
 impl Evidence {
     /// Returns what an outcome says about the host; `None` if it says nothing.
-    fn of(outcome: Outcome) -> Option<Self> {
+    fn from_outcome(outcome: Outcome) -> Option<Self> {
         match outcome {
             Outcome::Ok | Outcome::Unsuitable => Some(Evidence::Served),
-            Outcome::Error | Outcome::Full => Some(Evidence::Answered),
-            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => Some(Evidence::Silent),
+            Outcome::Error | Outcome::Full => Some(Evidence::ErrorReply),
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => Some(Evidence::NoReply),
             Outcome::Cancelled | Outcome::NotSent => None,
         }
     }
 }
 
 impl HostReachability {
-    fn record(&mut self, evidence: Evidence, sent: SentKind) {
+    fn record(&mut self, evidence: Evidence, kind: ExchangeKind) {
         self.last_result_at = Some(Instant::now());
         self.consecutive_failures = match evidence {
-            Evidence::Served | Evidence::Answered => 0,
-            Evidence::Silent => self.consecutive_failures.saturating_add(1),
+            Evidence::Served | Evidence::ErrorReply => 0,
+            Evidence::NoReply => self.consecutive_failures.saturating_add(1),
         };
-        if sent == SentKind::Request {
+        if kind == ExchangeKind::Request {
             let served = evidence == Evidence::Served;
-            self.sent = self.sent.saturating_add(1);
-            self.answered = self.answered.saturating_add(u16::from(served));
+            self.requests_sent = self.requests_sent.saturating_add(1);
+            self.requests_served = self.requests_served.saturating_add(u16::from(served));
         }
     }
 }
@@ -75,10 +75,10 @@
 impl Host {
     /// Adds the host's results since the last report to the report of its zone, and resets its counts.
     fn take_reachability(&mut self, report: &mut SiteReachability) {
-        let sent = std::mem::take(&mut self.reachability.sent);
-        let answered = std::mem::take(&mut self.reachability.answered);
-        report.sent = report.sent.saturating_add(sent);
-        report.answered = report.answered.saturating_add(answered);
+        let requests_sent = std::mem::take(&mut self.reachability.requests_sent);
+        let requests_served = std::mem::take(&mut self.reachability.requests_served);
+        report.sent = report.sent.saturating_add(requests_sent);
+        report.answered = report.answered.saturating_add(requests_served);
         let last_result_at = self.reachability.last_result_at;
         let is_recent = last_result_at.is_some_and(|at| at.elapsed() < RESULT_MAX_AGE);
         if self.in_service() && is_recent {
@@ -96,14 +96,14 @@
     }
 
     /// Records the outcome of an attempt or a health check, if reachability reports are enabled.
-    pub(super) fn record_result(&self, member: MemberId, outcome: Outcome, sent: SentKind) {
+    pub(super) fn record_result(&self, member: MemberId, outcome: Outcome, kind: ExchangeKind) {
         if !self.reachability_enabled.get() {
             return;
         }
         let mut registry = self.registry.borrow_mut();
         let host = registry.hosts.get_mut(member);
-        if let Some((host, evidence)) = host.zip(Evidence::of(outcome)) {
-            host.reachability.record(evidence, sent);
+        if let Some((host, evidence)) = host.zip(Evidence::from_outcome(outcome)) {
+            host.reachability.record(evidence, kind);
         }
     }
 
--- a/src/net/upstream/registry.rs
+++ b/src/net/upstream/registry.rs
@@ -98,8 +98,8 @@
             .only_listed_drains_bind
             .set(settings.rules.only_listed_drains_bind);
         let mut names = loaded.zones.iter();
-        let own_zone = names.nth(settings.zone.0 as usize).unwrap_or_default();
-        self.zone_id(own_zone)
+        let gateway_zone = names.nth(settings.zone.0 as usize).unwrap_or_default();
+        self.zone_id(gateway_zone)
     }
 
     /// Returns the id of a zone at the router.
@@ -204,8 +204,8 @@
     /// Returns the member id for this name; assigns a new one if there is none.
     fn member_for_name(&mut self, name: &str) -> MemberId {
         let next_member = &mut self.next_member;
-        let members = self.members_by_name.entry(name.to_string());
-        *members.or_insert_with(|| {
+        let entry = self.members_by_name.entry(name.to_string());
+        *entry.or_insert_with(|| {
             let member = MemberId(*next_member);
             *next_member += 1;
             member
--- a/src/net/upstream/reply.rs
+++ b/src/net/upstream/reply.rs
@@ -8,22 +8,22 @@
 use tokio::io::AsyncReadExt;
 
 /// Minimum free capacity of a buffer before a read, in bytes: enough for a typical reply without a row.
-const MIN_READ: usize = 1024;
+const MIN_READ_BYTES: usize = 1024;
 
 /// How a row with a long value is handled.
 #[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum LongRows {
+pub(super) enum LongRowHandling {
     /// The row is streamed to the client while it arrives.
-    PassOn,
+    Stream,
     /// The row is read as a whole, like any other message.
-    AsMessages,
+    ReadWhole,
 }
 
 /// The part of a reply that has been received.
 pub(super) enum Received {
     /// The whole reply.
     Complete(CompleteReply),
-    /// The messages before a row with a long value, and the bytes of that row that have arrived.
+    /// The messages before a row with a long value, and the bytes that have been read after them.
     LongRow(LongRow),
 }
 
@@ -41,7 +41,7 @@
     pub(super) reply: Reply,
     /// Messages that precede the row and are passed on to the client with it, such as its description.
     pub(super) head: Buffer,
-    /// Bytes that have been read from the beginning of the row on.
+    /// Bytes that have been read, starting at the beginning of the row.
     pub(super) unread: Buffer,
     /// Size of the row's message, in bytes.
     pub(super) length: usize,
@@ -51,19 +51,19 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReplyError {
     /// The connection was closed, failed, or delivered nothing for too long.
-    #[error("the connection was lost")]
+    #[error("connection to the host lost")]
     ConnectionLost,
     /// The client has left, so that the rest of a long value can't be delivered.
-    #[error("the client is gone")]
+    #[error("client left before the end of its answer")]
     ClientGone,
     /// There was not enough buffer memory.
-    #[error("no room for its answer")]
-    NoRoom,
+    #[error("not enough buffer memory for the reply")]
+    OutOfMemory,
     /// A long value arrived in reply to a query whose replies are not streamed.
-    #[error("an unexpected long value")]
+    #[error("unexpected long value in the reply")]
     UnexpectedLongValue,
     /// A streamed row was not followed by the end of a successful reply.
-    #[error("an error after its row")]
+    #[error("reply failed after its row had been streamed")]
     ErrorAfterRow,
     /// The bytes that arrived violate the protocol.
     #[error("{0}")]
@@ -86,7 +86,7 @@
 }
 
 /// How far the bytes that have been read reach.
-enum Progress {
+enum ParseProgress {
     /// More bytes must be read.
     Incomplete,
     /// The reply is complete.
@@ -112,17 +112,20 @@
     pub(super) async fn read(
         mut self,
         connection: &mut Connection,
-        long_rows: LongRows,
+        long_row_handling: LongRowHandling,
     ) -> Result<Received, ReplyError> {
         loop {
-            match self.take_messages(long_rows)? {
-                Progress::Incomplete => {}
-                Progress::Complete => return Ok(self.complete()),
-                Progress::LongRow(length) => return Ok(self.long_row(length)),
+            match self.parse_messages(long_row_handling)? {
+                ParseProgress::Incomplete => {}
+                ParseProgress::Complete => return Ok(self.complete()),
+                ParseProgress::LongRow(length) => return Ok(self.long_row(length)),
             }
-            let more = self.unread.len().clamp(MIN_READ, pg::MAX_MESSAGE_SIZE);
+            let more = self
+                .unread
+                .len()
+                .clamp(MIN_READ_BYTES, pg::MAX_MESSAGE_SIZE);
             if !self.unread.try_reserve(more) {
-                return Err(ReplyError::NoRoom);
+                return Err(ReplyError::OutOfMemory);
             }
             match connection.stream.read_buf(&mut *self.unread).await {
                 Ok(n) if n > 0 => {}
@@ -138,11 +141,14 @@
     }
 
     /// Parses the whole messages that have been read.
-    fn take_messages(&mut self, long_rows: LongRows) -> Result<Progress, ReplyError> {
-        let pass_on = long_rows == LongRows::PassOn;
-        while !(pass_on && pg::may_begin_long_row(&self.unread)) {
-            if let Some(length) = pg::long_row(&self.unread)?.filter(|_| pass_on) {
-                return Ok(Progress::LongRow(length));
+    fn parse_messages(
+        &mut self,
+        long_row_handling: LongRowHandling,
+    ) -> Result<ParseProgress, ReplyError> {
+        let stream_long_rows = long_row_handling == LongRowHandling::Stream;
+        while !(stream_long_rows && pg::may_begin_long_row(&self.unread)) {
+            if let Some(length) = pg::long_row(&self.unread)?.filter(|_| stream_long_rows) {
+                return Ok(ParseProgress::LongRow(length));
             }
             let Some(frame) = pg::frame(&self.unread)? else {
                 break;
@@ -152,16 +158,16 @@
                 .reply
                 .read_message(frame.tag, &self.unread[frame.body])?;
             if in_row && !self.row.append(&self.unread[..end]) {
-                return Err(ReplyError::NoRoom);
+                return Err(ReplyError::OutOfMemory);
             }
             self.unread.advance(end);
             if self.reply.ready {
                 // If bytes follow the reply, which belong to no request, the connection is not reused.
                 self.reply.ready = self.unread.is_empty();
-                return Ok(Progress::Complete);
+                return Ok(ParseProgress::Complete);
             }
         }
-        Ok(Progress::Incomplete)
+        Ok(ParseProgress::Incomplete)
     }
 
     fn complete(self) -> Received {
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -4,7 +4,7 @@
 use crate::net::pg::Reply;
 use crate::net::upstream::connection::Connection;
 use crate::net::upstream::registry::Upstream;
-use crate::net::upstream::reply::{LongRow, LongRows, Received, ReplyError, ReplyReader};
+use crate::net::upstream::reply::{LongRow, LongRowHandling, Received, ReplyError, ReplyReader};
 use bytes::{Buf, BufMut};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
@@ -35,14 +35,14 @@
 }
 
 impl Upstream {
-    /// Streams a row with a long value to the client while it arrives, and reads the rest of the reply. `begin` is
+    /// Streams a row with a long value to the client while it arrives, and reads the rest of the reply. `on_stream` is
     /// called with the answer before the rest of the value is read. The client's speed limits the host's, because no
     /// more is read from the host than the queue of chunks holds.
-    pub(super) async fn pass_on(
+    pub(super) async fn stream_row(
         &self,
         connection: &mut Connection,
         row: LongRow,
-        begin: impl FnOnce(StreamedAnswer),
+        on_stream: impl FnOnce(StreamedAnswer),
     ) -> Result<Reply, ReplyError> {
         let LongRow {
             mut reply,
@@ -53,15 +53,15 @@
         reply.record_forwarded_row()?;
         let available = length.min(unread.len());
         if !head.append(&unread[..available]) {
-            return Err(ReplyError::NoRoom);
+            return Err(ReplyError::OutOfMemory);
         }
         unread.advance(available);
         let (chunks, rest) = mpsc::channel(MAX_QUEUED_CHUNKS);
-        begin(StreamedAnswer { head, rest });
-        let missing = length - available;
-        self.pass_value_on(connection, missing, &chunks).await?;
+        on_stream(StreamedAnswer { head, rest });
+        let remaining = length - available;
+        self.stream_value(connection, remaining, &chunks).await?;
         let reader = ReplyReader::resume(reply, unread, self.buffers.acquire());
-        let reading = reader.read(connection, LongRows::AsMessages);
+        let reading = reader.read(connection, LongRowHandling::ReadWhole);
         let received = timeout(HOST_SILENCE_TIMEOUT, reading)
             .await
             .map_err(|_| ReplyError::ConnectionLost)??;
@@ -74,19 +74,19 @@
         }
     }
 
-    /// Streams the last `missing` bytes of the value, which have not arrived yet.
-    async fn pass_value_on(
+    /// Streams the last `remaining` bytes of the value, which have not arrived yet.
+    async fn stream_value(
         &self,
         connection: &mut Connection,
-        mut missing: usize,
+        mut remaining: usize,
         chunks: &mpsc::Sender<StreamChunk>,
     ) -> Result<(), ReplyError> {
-        while missing > 0 {
+        while remaining > 0 {
             let mut chunk = self.buffers.acquire();
-            let mut limited = (&mut *chunk).limit(missing);
+            let mut limited = (&mut *chunk).limit(remaining);
             let reading = connection.stream.read_buf(&mut limited);
             match timeout(HOST_SILENCE_TIMEOUT, reading).await {
-                Ok(Ok(n)) if n > 0 => missing -= n,
+                Ok(Ok(n)) if n > 0 => remaining -= n,
                 _ => return Err(ReplyError::ConnectionLost),
             }
             send_chunk(chunks, StreamChunk::Data(chunk)).await?;
--- a/tests/unit/answer.rs
+++ b/tests/unit/answer.rs
@@ -22,15 +22,15 @@
 #[test]
 fn second_answer_is_neither_sent_nor_counted() {
     let metrics = Rc::<Metrics>::default();
-    let (client, mut answer) = oneshot::channel();
-    let mut pending = PendingAnswer::new(client, Rc::clone(&metrics));
+    let (sender, mut receiver) = oneshot::channel();
+    let mut pending = PendingAnswer::new(sender, Rc::clone(&metrics));
     assert!(pending.send(Answer::Rejected {
         retry_after: SEVEN_NANOSECONDS
     }));
     assert!(!pending.is_pending());
     assert!(!pending.send(Answer::Failed));
     assert!(matches!(
-        answer.try_recv(),
+        receiver.try_recv(),
         Ok(Answer::Rejected {
             retry_after: SEVEN_NANOSECONDS
         })
@@ -42,9 +42,9 @@
 #[test]
 fn client_that_is_gone_gets_no_answer_and_none_is_counted() {
     let metrics = Rc::<Metrics>::default();
-    let (client, answer) = oneshot::channel::<Answer>();
-    let mut pending = PendingAnswer::new(client, Rc::clone(&metrics));
-    drop(answer);
+    let (sender, receiver) = oneshot::channel::<Answer>();
+    let mut pending = PendingAnswer::new(sender, Rc::clone(&metrics));
+    drop(receiver);
     pending.abandon();
     assert!(!pending.send(Answer::Failed));
     assert_eq!(metrics.requests.failed.get(), 0);
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -11,7 +11,7 @@
     let text = include_str!("../gateway/settings.json");
     let first =
         PlatformSettings::parse(&serde_json::from_str(text).expect("json"), 1).expect("settings");
-    let with = |change: &dyn Fn(&mut PlatformSettings)| {
+    let modified_settings = |change: &dyn Fn(&mut PlatformSettings)| {
         let mut loaded = first.clone();
         change(&mut loaded);
         loaded
@@ -21,8 +21,9 @@
     let order = classes.find("order").expect("a class");
     assert_eq!((slot("read"), order.slot), (Some(0), 1));
     // A class that changes while a request uses it gets a new slot, which inherits the estimates of the old slot.
-    let shorter = with(&|l| l.settings.classes[1].deadline = TimeDelta::from_nanos(7));
-    assert_eq!(classes.swap(&shorter)[4], Some(1));
+    let shorter_deadline =
+        modified_settings(&|loaded| loaded.settings.classes[1].deadline = TimeDelta::from_nanos(7));
+    assert_eq!(classes.swap(&shorter_deadline)[4], Some(1));
     assert_eq!(
         (slot("order"), order.class.deadline),
         (Some(4), first.settings.classes[1].deadline)
@@ -38,12 +39,12 @@
     for name in ["read", "new", "own"] {
         names.number(name);
     }
-    let other = with(&|l| {
-        l.classes = names.clone();
-        l.settings.classes.truncate(3);
+    let removed_and_added = modified_settings(&|loaded| {
+        loaded.classes = names.clone();
+        loaded.settings.classes.truncate(3);
     });
     assert_eq!(
-        classes.swap(&other)[1],
+        classes.swap(&removed_and_added)[1],
         None,
         "a new class inherits no estimates"
     );
@@ -52,8 +53,8 @@
         (Some(1), None, None)
     );
     for deadline in 1..50 {
-        classes.swap(&with(&|l| {
-            l.settings.classes[0].deadline = TimeDelta::from_nanos(deadline)
+        classes.swap(&modified_settings(&|loaded| {
+            loaded.settings.classes[0].deadline = TimeDelta::from_nanos(deadline)
         }));
     }
     assert!(classes.settings().classes.len() < 8);
@@ -68,14 +69,14 @@
         PlatformSettings::parse(&serde_json::from_str(text).expect("json"), 1).expect("settings");
     let classes = Classes::new(&first);
     let in_flight = classes.find("order").expect("a class");
-    let long = duration(in_flight.class.deadline);
-    let mut short = first.clone();
-    short
+    let order_deadline = duration(in_flight.class.deadline);
+    let mut shorter_deadlines = first.clone();
+    shorter_deadlines
         .settings
         .classes
         .iter_mut()
-        .for_each(|c| c.deadline = TimeDelta::from_millis(150));
-    classes.swap(&short);
+        .for_each(|class| class.deadline = TimeDelta::from_millis(150));
+    classes.swap(&shorter_deadlines);
     assert_eq!(classes.longest_wait(), Duration::from_millis(150));
-    assert_eq!(classes.longest_wait_held(), long);
+    assert_eq!(classes.longest_wait_held(), order_deadline);
 }
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -34,7 +34,7 @@
 
 /// Numbers must not overflow. A position in the future must be rejected, because no later position could correct it.
 #[test]
-fn load_report_values_that_cannot_be_true_are_left_out() {
+fn implausible_load_report_values_are_omitted() {
     let now = unix_milliseconds(1_767_225_600_000);
     for x0 in [
         "1767225601",
