--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -102,7 +102,7 @@
 
     /// Changes the serving state, and gives all requests the time by which they need their answers.
     fn announce(&self, started: Instant) -> ShutdownSchedule {
-        let schedule = ShutdownSchedule::new(self.parts.classes.longest_wait());
+        let schedule = ShutdownSchedule::new(self.parts.classes.longest_deadline());
         let context = &self.client_listener.request_context;
         context.shutdown.send_replace(Some(ShutdownDeadlines {
             answer_by: started + schedule.answer_by,
@@ -152,7 +152,10 @@
 /// Waits until all connections are closed and all requests are over, at most for the longest deadline. Requests keep
 /// the classes that they came in, whatever the settings say now.
 async fn finish_open_requests(parts: &SharedParts, client_listener: &ClientListener) {
-    let longest = parts.classes.longest_wait_held().max(LAST_CLOSE_TIMEOUT);
+    let longest = parts
+        .classes
+        .longest_deadline_in_use()
+        .max(LAST_CLOSE_TIMEOUT);
     let end = Instant::now() + longest;
     let has_work = || {
         client_listener.connection_limit.open_connections() > 0 || parts.router.open_requests() > 0
--- a/src/net/request/classes.rs
+++ b/src/net/request/classes.rs
@@ -69,14 +69,14 @@
     }
 
     /// Returns the longest deadline of the classes that new requests can have.
-    pub fn longest_wait(&self) -> Duration {
-        longest_deadline(self.by_name.borrow().values())
+    pub fn longest_deadline(&self) -> Duration {
+        max_deadline(self.by_name.borrow().values())
     }
 
     /// Returns the longest deadline of the classes in all slots. Requests in flight may be in a class that the newest
     /// settings no longer have.
-    pub fn longest_wait_held(&self) -> Duration {
-        longest_deadline(self.slots.borrow().iter())
+    pub fn longest_deadline_in_use(&self) -> Duration {
+        max_deadline(self.slots.borrow().iter())
     }
 
     /// Applies new settings. Returns, for each slot, the previous slot whose estimates its class inherits; `None` if it
@@ -132,7 +132,7 @@
         .unwrap_or(slots.len())
 }
 
-fn longest_deadline<'a>(handles: impl Iterator<Item = &'a Rc<ClassHandle>>) -> Duration {
+fn max_deadline<'a>(handles: impl Iterator<Item = &'a Rc<ClassHandle>>) -> Duration {
     handles
         .map(|handle| duration(handle.class.deadline))
         .max()
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -63,7 +63,7 @@
 /// A shutdown must neither wait for a deadline that new settings have removed, nor end before a request in flight that
 /// still has a longer deadline.
 #[test]
-fn longest_wait_after_a_reload_follows_new_settings_but_requests_in_flight_keep_theirs() {
+fn longest_deadline_after_a_reload_follows_new_settings_but_requests_in_flight_keep_theirs() {
     let text = include_str!("../gateway/settings.json");
     let first =
         PlatformSettings::parse(&serde_json::from_str(text).expect("json"), 1).expect("settings");
@@ -77,6 +77,6 @@
         .iter_mut()
         .for_each(|class| class.deadline = TimeDelta::from_millis(150));
     classes.swap(&shorter_deadlines);
-    assert_eq!(classes.longest_wait(), Duration::from_millis(150));
-    assert_eq!(classes.longest_wait_held(), order_deadline);
+    assert_eq!(classes.longest_deadline(), Duration::from_millis(150));
+    assert_eq!(classes.longest_deadline_in_use(), order_deadline);
 }
