--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -51,7 +51,7 @@
         } = &self.parts;
         // Zones keep the numbers that they have in this process, whatever their order in the new file.
         platform.settings.zone = upstream.update_settings(&platform);
-        let measurements_from = classes.swap(&platform);
+        let measurements_from = classes.update_settings(&platform);
         let settings = Box::new(classes.settings().clone());
         router.post(Event::SettingsChanged {
             settings,
--- a/src/net/request/classes.rs
+++ b/src/net/request/classes.rs
@@ -45,7 +45,7 @@
             by_name: RefCell::default(),
             settings: RefCell::new(loaded.settings.clone()),
         };
-        classes.swap(loaded);
+        classes.update_settings(loaded);
         classes
     }
 
@@ -81,7 +81,7 @@
 
     /// Applies new settings. Returns, for each slot, the previous slot whose estimates its class inherits; `None` if it
     /// inherits none.
-    pub fn swap(&self, loaded: &PlatformSettings) -> Vec<Option<usize>> {
+    pub fn update_settings(&self, loaded: &PlatformSettings) -> Vec<Option<usize>> {
         let mut slots = self.slots.borrow_mut();
         let mut by_name = self.by_name.borrow_mut();
         let previous_by_name = std::mem::take(&mut *by_name);
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -23,7 +23,7 @@
     // A class that changes while a request uses it gets a new slot, which inherits the estimates of the old slot.
     let shorter_deadline =
         modified_settings(&|loaded| loaded.settings.classes[1].deadline = TimeDelta::from_nanos(7));
-    assert_eq!(classes.swap(&shorter_deadline)[4], Some(1));
+    assert_eq!(classes.update_settings(&shorter_deadline)[4], Some(1));
     assert_eq!(
         (slot("order"), order.class.deadline),
         (Some(4), first.settings.classes[1].deadline)
@@ -44,7 +44,7 @@
         loaded.settings.classes.truncate(3);
     });
     assert_eq!(
-        classes.swap(&removed_and_added)[1],
+        classes.update_settings(&removed_and_added)[1],
         None,
         "a new class inherits no estimates"
     );
@@ -53,7 +53,7 @@
         (Some(1), None, None)
     );
     for deadline in 1..50 {
-        classes.swap(&modified_settings(&|loaded| {
+        classes.update_settings(&modified_settings(&|loaded| {
             loaded.settings.classes[0].deadline = TimeDelta::from_nanos(deadline)
         }));
     }
@@ -76,7 +76,7 @@
         .classes
         .iter_mut()
         .for_each(|class| class.deadline = TimeDelta::from_millis(150));
-    classes.swap(&shorter_deadlines);
+    classes.update_settings(&shorter_deadlines);
     assert_eq!(classes.longest_deadline(), Duration::from_millis(150));
     assert_eq!(classes.longest_deadline_in_use(), order_deadline);
 }
