--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -1,11 +1,11 @@
-//! One exchange on a connection: a query is written, and its reply is read or passed on.
+//! One exchange on a connection: a query is written, and its reply is read or streamed to the client.
 
 use crate::net::buffers::Buffer;
 use crate::net::log::log;
 use crate::net::pg::Reply;
 use crate::net::upstream::connection::Connection;
 use crate::net::upstream::registry::Upstream;
-use crate::net::upstream::reply::{LongRows, Received, ReplyError, ReplyReader};
+use crate::net::upstream::reply::{LongRowHandling, Received, ReplyError, ReplyReader};
 use crate::net::upstream::response_stream::StreamedAnswer;
 use crate::net::write_all;
 use irisrouter::routing::{MemberId, Outcome};
@@ -13,35 +13,36 @@
 
 /// A query that is ready to be written.
 pub(super) struct Query {
-    /// The host that it goes to.
+    /// Host that the query is sent to.
     pub(super) member: MemberId,
-    /// A connection to that host, on which nothing else is in flight.
+    /// Connection to that host, with nothing else in flight.
     pub(super) connection: Connection,
-    /// The message.
+    /// The query message.
     pub(super) message: Buffer,
-    /// When its reply has to be there, or a long one has to have begun.
+    /// Time by which the reply must have arrived; a long reply must have begun by then.
     pub(super) deadline: Instant,
 }
 
 /// A host's reply to a query.
 pub(super) struct QueryReply {
-    /// What its messages say.
+    /// Content of the messages of the reply.
     pub(super) reply: Reply,
-    /// The messages of the row; `None` where they were passed on.
+    /// Messages of the row; `None` if they were streamed to the client.
     pub(super) row: Option<Buffer>,
 }
 
 impl Upstream {
-    /// Writes a query and reads its reply, or passes it on where it is long and `pass_on` takes such. The connection is
-    /// used again only after a whole reply.
+    /// Writes a query and reads its reply. A long reply is streamed to `on_stream`; without `on_stream`, it is read as a
+    /// whole. The connection is reused only after a complete reply.
     ///
     /// # Errors
     ///
-    /// The outcome of the attempt. Until the last byte of the query is written, it can't have run.
+    /// Returns the outcome of the attempt. If it failed before the last byte of the query was written, the query can't
+    /// have run, and the outcome is [`Outcome::ConnectFailed`].
     pub(super) async fn exchange(
         &self,
         query: Query,
-        pass_on: Option<impl FnOnce(StreamedAnswer)>,
+        on_stream: Option<impl FnOnce(StreamedAnswer)>,
     ) -> Result<QueryReply, Outcome> {
         let Query {
             member,
@@ -54,49 +55,52 @@
             return Err(Outcome::ConnectFailed);
         }
         buffer.clear();
-        let long_rows = match pass_on {
-            Some(_) => LongRows::PassOn,
-            None => LongRows::AsMessages,
+        let long_row_handling = match on_stream {
+            Some(_) => LongRowHandling::Stream,
+            None => LongRowHandling::ReadWhole,
         };
         let reader = ReplyReader::new(buffer, self.buffers.acquire());
-        let reading = reader.read(&mut connection, long_rows);
+        let reading = reader.read(&mut connection, long_row_handling);
         let received = timeout_at(deadline, reading)
             .await
             .map_err(|_| Outcome::TimedOut)?;
-        let result = self.finish_reply(&mut connection, received, pass_on).await;
-        let reply = result.map_err(|error| self.failed_reply(member, &error))?;
+        let result = self
+            .finish_reply(&mut connection, received, on_stream)
+            .await;
+        let reply = result.map_err(|error| self.outcome_without_reply(member, &error))?;
         if reply.reply.ready {
             self.check_in(member, connection);
         }
         Ok(reply)
     }
 
-    /// A complete reply as it is; a long one when it has been passed on.
+    /// Returns a complete reply at once. Streams a long one to the client first.
     async fn finish_reply(
         &self,
         connection: &mut Connection,
         received: Result<Received, ReplyError>,
-        pass_on: Option<impl FnOnce(StreamedAnswer)>,
+        on_stream: Option<impl FnOnce(StreamedAnswer)>,
     ) -> Result<QueryReply, ReplyError> {
-        match (received?, pass_on) {
+        match (received?, on_stream) {
             (Received::Complete(complete), _) => Ok(QueryReply {
                 reply: complete.reply,
                 row: Some(complete.row),
             }),
-            (Received::LongRow(row), Some(pass_on)) => {
-                let reply = self.pass_on(connection, row, pass_on).await?;
+            (Received::LongRow(row), Some(on_stream)) => {
+                let reply = self.stream_row(connection, row, on_stream).await?;
                 Ok(QueryReply { reply, row: None })
             }
             (Received::LongRow(_), None) => Err(ReplyError::UnexpectedLongValue),
         }
     }
 
-    /// The outcome of an attempt whose query was written and whose reply was not received.
-    fn failed_reply(&self, member: MemberId, error: &ReplyError) -> Outcome {
+    /// Returns the outcome of an attempt whose query was written but whose reply was not received, and logs a protocol
+    /// error or lack of memory.
+    fn outcome_without_reply(&self, member: MemberId, error: &ReplyError) -> Outcome {
         match error {
             ReplyError::ConnectionLost => Outcome::Reset,
             ReplyError::ClientGone => Outcome::Cancelled,
-            ReplyError::NoRoom
+            ReplyError::OutOfMemory
             | ReplyError::UnexpectedLongValue
             | ReplyError::ErrorAfterRow
             | ReplyError::Malformed(_) => {
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -1,42 +1,43 @@
-//! Health checks: a host is asked for its load report.
+//! Health checks, each of which requests the load report of a host.
 
 use crate::net::metrics::increment;
 use crate::net::pg::{self, code, Reply};
 use crate::net::time_delta;
 use crate::net::upstream::exchange::{Query, QueryReply};
 use crate::net::upstream::load_report::parse_load_report;
-use crate::net::upstream::reachability::SentKind;
+use crate::net::upstream::reachability::ExchangeKind;
 use crate::net::upstream::registry::Upstream;
 use crate::net::upstream::response_stream::StreamedAnswer;
 use irisrouter::routing::{Event, LoadReport, MemberId, Outcome};
 use irisrouter_cluster_types::{Epoch, TaskId};
 use tokio::time::Instant;
 
-/// The query that a host answers with its load report.
+/// Query that a host answers with its load report.
 const HEALTH_CHECK_QUERY: &str = "SHOW usage";
 
-/// The lease under which a gateway checks a host. A host refuses an epoch that is older than the latest one it saw.
+/// The lease under which a gateway sends health checks to a host. A host refuses a check whose epoch is older than the
+/// latest one that it has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Fence {
-    /// The leased task.
+    /// Task that the lease is for.
     pub task: TaskId,
-    /// The epoch of the lease.
+    /// Epoch of the lease.
     pub epoch: Epoch,
 }
 
-/// A finished health check.
+/// The result of a health check.
 pub struct HealthCheck {
-    /// What it says, for the router.
+    /// Event that reports the result to the router.
     pub event: Event,
-    /// The host has seen a later epoch of the lease.
+    /// Whether the host refused the check because it has received a later epoch of the lease.
     pub fenced: bool,
 }
 
-/// What a host's reply to a health check says.
+/// A host's reply to a health check.
 struct HealthCheckReply {
     outcome: Outcome,
     report: Option<LoadReport>,
-    /// The host has seen a later epoch of the lease.
+    /// Whether the host refused the check because it has received a later epoch of the lease.
     fenced: bool,
 }
 
@@ -51,12 +52,12 @@
 }
 
 impl Upstream {
-    /// Asks a host for its load report.
+    /// Requests the load report of a host.
     pub async fn health_check(&self, member: MemberId) -> Event {
         self.health_check_with_fence(member, None).await.event
     }
 
-    /// Asks a host for its load report, as the holder of a lease.
+    /// Requests the load report of a host, with the epoch of the lease in `fence` if there is one.
     pub async fn health_check_with_fence(
         &self,
         member: MemberId,
@@ -66,11 +67,11 @@
         let start = Instant::now();
         let deadline = start + self.connect_timeout();
         let reply = match self.send_health_check(member, fence, deadline).await {
-            Ok(answer) => self.health_check_reply(&answer.reply, fence),
+            Ok(query_reply) => self.health_check_reply(&query_reply.reply, fence),
             Err(outcome) => outcome.into(),
         };
-        // A check that waited its whole time for a connection counts as unanswered for reachability. For the router it is
-        // "not sent", which says nothing of the host.
+        // A check whose whole timeout passed while it waited for a connection counts as unanswered for reachability.
+        // The router gets the outcome "not sent", which says nothing about the host.
         let waited_for_connection = reply.outcome == Outcome::NotSent;
         let timed_out = waited_for_connection && start.elapsed() >= self.connect_timeout();
         let reachability = if timed_out {
@@ -78,7 +79,7 @@
         } else {
             reply.outcome
         };
-        self.record_result(member, reachability, SentKind::HealthCheck);
+        self.record_result(member, reachability, ExchangeKind::HealthCheck);
         let event = Event::HealthChecked {
             member,
             outcome: reply.outcome,
@@ -111,7 +112,7 @@
             message,
             deadline,
         };
-        // A load report is short: no long value is passed on.
+        // A load report is short, so there is no long value to stream.
         self.exchange(query, None::<fn(StreamedAnswer)>).await
     }
 
@@ -135,7 +136,7 @@
     }
 }
 
-/// The query, with the fence in a comment where there is one.
+/// Builds the query of a health check, with the fence, if there is one, in an SQL comment.
 fn health_check_text(fence: Option<Fence>) -> String {
     match fence {
         None => HEALTH_CHECK_QUERY.to_string(),
--- a/src/net/upstream/response_stream.rs
+++ b/src/net/upstream/response_stream.rs
@@ -1,47 +1,48 @@
-//! Long values: they are passed on to the client while they arrive, and are never held as a whole.
+//! Streaming of long values to the client while they arrive, without holding a whole value in memory.
 
 use crate::net::buffers::Buffer;
 use crate::net::pg::Reply;
 use crate::net::upstream::connection::Connection;
 use crate::net::upstream::registry::Upstream;
-use crate::net::upstream::reply::{LongRow, LongRows, Received, ReplyError, ReplyReader};
+use crate::net::upstream::reply::{LongRow, LongRowHandling, Received, ReplyError, ReplyReader};
 use bytes::{Buf, BufMut};
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 use tokio::sync::mpsc;
 use tokio::time::timeout;
 
-/// Chunks of a long value that wait for their client, besides the one that is being written to it. With more, the memory
-/// for a slow client would grow; with these, its host has to wait.
+/// Maximum number of chunks of a long value that are queued for a client, in addition to the one that is being written.
+/// While the queue is full, nothing more is read from the host, which bounds the memory that a slow client takes.
 const MAX_QUEUED_CHUNKS: usize = 2;
-/// A host that sends nothing for this time in the middle of a long value counts as lost: far longer than any pause
-/// between two packets.
+/// Time without any bytes from the host in the middle of a long value after which the connection counts as lost. It is
+/// far longer than any pause between two packets.
 const HOST_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An answer that is passed on while it arrives.
+/// An answer that is streamed to the client while it arrives.
 pub struct StreamedAnswer {
-    /// Its messages up to the first bytes of the value.
+    /// Messages of the answer up to the first bytes of the value.
     pub head: Buffer,
-    /// The rest. Where it ends without [`StreamChunk::Last`], the value is incomplete.
+    /// Channel for the rest of the answer. If it closes without [`StreamChunk::Last`], the value is incomplete.
     pub rest: mpsc::Receiver<StreamChunk>,
 }
 
-/// A part of an answer that is passed on.
+/// A part of a streamed answer.
 pub enum StreamChunk {
     /// Bytes of the value.
     Data(Buffer),
-    /// The value is complete, and these messages follow it.
+    /// The end of the value has been sent, and these messages follow it.
     Last(Buffer),
 }
 
 impl Upstream {
-    /// Passes a long value on while it arrives. The host sends as fast as the client takes it: no more is read than the
-    /// queue between them holds.
-    pub(super) async fn pass_on(
+    /// Streams a row with a long value to the client while it arrives, and reads the rest of the reply. `on_stream` is
+    /// called with the answer before the rest of the value is read. The client's speed limits the host's, because no
+    /// more is read from the host than the queue of chunks holds.
+    pub(super) async fn stream_row(
         &self,
         connection: &mut Connection,
         row: LongRow,
-        begin: impl FnOnce(StreamedAnswer),
+        on_stream: impl FnOnce(StreamedAnswer),
     ) -> Result<Reply, ReplyError> {
         let LongRow {
             mut reply,
@@ -52,15 +53,15 @@
         reply.record_forwarded_row()?;
         let available = length.min(unread.len());
         if !head.append(&unread[..available]) {
-            return Err(ReplyError::NoRoom);
+            return Err(ReplyError::OutOfMemory);
         }
         unread.advance(available);
         let (chunks, rest) = mpsc::channel(MAX_QUEUED_CHUNKS);
-        begin(StreamedAnswer { head, rest });
-        let missing = length - available;
-        self.pass_value_on(connection, missing, &chunks).await?;
+        on_stream(StreamedAnswer { head, rest });
+        let remaining = length - available;
+        self.stream_value(connection, remaining, &chunks).await?;
         let reader = ReplyReader::resume(reply, unread, self.buffers.acquire());
-        let reading = reader.read(connection, LongRows::AsMessages);
+        let reading = reader.read(connection, LongRowHandling::ReadWhole);
         let received = timeout(HOST_SILENCE_TIMEOUT, reading)
             .await
             .map_err(|_| ReplyError::ConnectionLost)??;
@@ -73,19 +74,19 @@
         }
     }
 
-    /// Passes on the `missing` bytes of the value that have not arrived yet.
-    async fn pass_value_on(
+    /// Streams the last `remaining` bytes of the value, which have not arrived yet.
+    async fn stream_value(
         &self,
         connection: &mut Connection,
-        mut missing: usize,
+        mut remaining: usize,
         chunks: &mpsc::Sender<StreamChunk>,
     ) -> Result<(), ReplyError> {
-        while missing > 0 {
+        while remaining > 0 {
             let mut chunk = self.buffers.acquire();
-            let mut limited = (&mut *chunk).limit(missing);
+            let mut limited = (&mut *chunk).limit(remaining);
             let reading = connection.stream.read_buf(&mut limited);
             match timeout(HOST_SILENCE_TIMEOUT, reading).await {
-                Ok(Ok(n)) if n > 0 => missing -= n,
+                Ok(Ok(n)) if n > 0 => remaining -= n,
                 _ => return Err(ReplyError::ConnectionLost),
             }
             send_chunk(chunks, StreamChunk::Data(chunk)).await?;
@@ -94,7 +95,7 @@
     }
 }
 
-/// Queues a chunk, once there is room for it.
+/// Queues a chunk; waits while the queue is full.
 async fn send_chunk(
     chunks: &mpsc::Sender<StreamChunk>,
     chunk: StreamChunk,
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -1,17 +1,17 @@
-//! Request classes while settings change.
+//! Tests of the request classes when the settings change.
 
 use super::*;
 use irisrouter::platform_settings::NameTable;
 use irisrouter::routing::TimeDelta;
 
-/// A request that changes its class while it is in flight would be accounted to the wrong one, and slots that are never
-/// reused would pile up with each reload.
+/// Guards against two failures: a request whose class changes while it is in flight would be attributed to the wrong
+/// class, and slots that are never reused would accumulate with each reload.
 #[test]
 fn class_slot_is_reused_once_no_request_holds_it() {
     let text = include_str!("../gateway/settings.json");
     let first =
         PlatformSettings::parse(&serde_json::from_str(text).expect("json"), 1).expect("settings");
-    let with = |change: &dyn Fn(&mut PlatformSettings)| {
+    let modified_settings = |change: &dyn Fn(&mut PlatformSettings)| {
         let mut loaded = first.clone();
         change(&mut loaded);
         loaded
@@ -20,9 +20,10 @@
     let slot = |name: &str| classes.find(name).map(|handle| handle.slot);
     let order = classes.find("order").expect("a class");
     assert_eq!((slot("read"), order.slot), (Some(0), 1));
-    // Changed while a request is in it: a slot of its own, which goes on from the estimates of the old one.
-    let shorter = with(&|l| l.settings.classes[1].deadline = TimeDelta::from_nanos(7));
-    assert_eq!(classes.swap(&shorter)[4], Some(1));
+    // A class that changes while a request uses it gets a new slot, which inherits the estimates of the old slot.
+    let shorter_deadline =
+        modified_settings(&|loaded| loaded.settings.classes[1].deadline = TimeDelta::from_nanos(7));
+    assert_eq!(classes.update_settings(&shorter_deadline)[4], Some(1));
     assert_eq!(
         (slot("order"), order.class.deadline),
         (Some(4), first.settings.classes[1].deadline)
@@ -30,52 +31,52 @@
     assert_eq!(
         classes.settings().classes[1].deadline,
         order.class.deadline,
-        "as the router has it"
+        "the router keeps the old class in slot 1"
     );
-    // The request is over: its slot is free, and so is that of a class that is gone.
+    // Once the request is finished, its slot is free, and so is the slot of a class that the new settings removed.
     drop(order);
     let mut names = NameTable::default();
     for name in ["read", "new", "own"] {
         names.number(name);
     }
-    let other = with(&|l| {
-        l.classes = names.clone();
-        l.settings.classes.truncate(3);
+    let removed_and_added = modified_settings(&|loaded| {
+        loaded.classes = names.clone();
+        loaded.settings.classes.truncate(3);
     });
     assert_eq!(
-        classes.swap(&other)[1],
+        classes.update_settings(&removed_and_added)[1],
         None,
-        "nothing is known of a new class"
+        "a new class inherits no estimates"
     );
     assert_eq!(
         (slot("new"), slot("order"), slot("once")),
         (Some(1), None, None)
     );
     for deadline in 1..50 {
-        classes.swap(&with(&|l| {
-            l.settings.classes[0].deadline = TimeDelta::from_nanos(deadline)
+        classes.update_settings(&modified_settings(&|loaded| {
+            loaded.settings.classes[0].deadline = TimeDelta::from_nanos(deadline)
         }));
     }
     assert!(classes.settings().classes.len() < 8);
 }
 
-/// A shutdown must neither take its times from a deadline that new settings have removed, nor end before a request whose
-/// own deadline is longer.
+/// A shutdown must neither wait for a deadline that new settings have removed, nor end before a request in flight that
+/// still has a longer deadline.
 #[test]
-fn longest_wait_after_a_reload_follows_new_settings_but_requests_in_flight_keep_theirs() {
+fn longest_deadline_after_a_reload_follows_new_settings_but_requests_in_flight_keep_theirs() {
     let text = include_str!("../gateway/settings.json");
     let first =
         PlatformSettings::parse(&serde_json::from_str(text).expect("json"), 1).expect("settings");
     let classes = Classes::new(&first);
     let in_flight = classes.find("order").expect("a class");
-    let long = duration(in_flight.class.deadline);
-    let mut short = first.clone();
-    short
+    let order_deadline = duration(in_flight.class.deadline);
+    let mut shorter_deadlines = first.clone();
+    shorter_deadlines
         .settings
         .classes
         .iter_mut()
-        .for_each(|c| c.deadline = TimeDelta::from_millis(150));
-    classes.swap(&short);
-    assert_eq!(classes.longest_wait(), Duration::from_millis(150));
-    assert_eq!(classes.longest_wait_held(), long);
+        .for_each(|class| class.deadline = TimeDelta::from_millis(150));
+    classes.update_settings(&shorter_deadlines);
+    assert_eq!(classes.longest_deadline(), Duration::from_millis(150));
+    assert_eq!(classes.longest_deadline_in_use(), order_deadline);
 }
