--- a/src/net/downstream/answer_writer.rs
+++ b/src/net/downstream/answer_writer.rs
@@ -1,4 +1,5 @@
-//! Writes to a client: answers, answers that are forwarded while they arrive, and the error that ends a connection.
+//! Writes to a client: complete answers, answers that are forwarded while they arrive, and the error that ends a
+//! connection.
 
 use crate::net::buffers::Buffer;
 use crate::net::downstream::connection::{ClientConnection, ConnectionEnd};
@@ -13,17 +14,17 @@
 
 /// A client that takes longer than this to accept one write counts as disconnected.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(15);
-/// The retry advice for a client that is rejected because there are too many connections. A crowd that
-/// reconnects at once would take processing time from the clients that are served.
+/// The retry advice for a client that is rejected because memory, connections or time have run out. Many clients that
+/// reconnect at once would take processing time from the clients that are being served.
 const RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(250);
-/// A write that takes longer than this counts as a pause in reading. Most take microseconds.
+/// A write that takes longer than this counts as an interruption of reading. Most writes take microseconds.
 const LONG_WRITE: Duration = Duration::from_millis(20);
-/// Bytes to reserve behind a row for the ReadyForQuery that follows it, which takes 6.
+/// Number of bytes to reserve after a row for the ReadyForQuery message, which takes 6.
 const READY_FOR_QUERY_ROOM: usize = 16;
 
 impl ClientConnection {
-    /// Writes all of these bytes; nothing, where there are none. What the client sends during a long write is read behind
-    /// it.
+    /// Writes all of these bytes; does nothing if there are none. After a long write, reads the input that the client
+    /// sent meanwhile.
     pub(super) async fn write(&mut self, bytes: &Buffer) -> Result<(), ConnectionEnd> {
         if bytes.is_empty() {
             return Ok(());
@@ -38,8 +39,8 @@
         Ok(())
     }
 
-    /// Adds the ReadyForQuery's room to the last part of an answer. Where there is no memory for that, the part is written
-    /// at once, and the result is an empty buffer.
+    /// Reserves space for ReadyForQuery after the last part of an answer. If no memory is available for that, writes
+    /// the part at once and returns an empty buffer.
     pub(super) async fn with_room_for_ready(
         &mut self,
         mut answer: Buffer,
@@ -52,7 +53,7 @@
     }
 
     /// Forwards a long answer while it arrives, and returns its last part, which is not written yet. An answer that
-    /// breaks off ends the connection: a client has no other way to tell that it is incomplete.
+    /// breaks off ends the connection, because the client cannot otherwise detect that it is incomplete.
     pub(super) async fn forward_streamed(
         &mut self,
         streamed: StreamedAnswer,
@@ -70,15 +71,15 @@
         }
     }
 
-    /// Reports a violation of the protocol and ends the connection.
+    /// Reports a protocol violation to the client and ends the connection.
     pub(super) async fn end_with_violation(&mut self, message: &str) -> ConnectionEnd {
         increment(&self.metrics().requests.malformed);
         self.end_with_error(code::PROTOCOL_VIOLATION, message, None)
             .await
     }
 
-    /// Reports that there are too many connections and ends this one. Nothing that its client asked for has been
-    /// started.
+    /// Reports to the client that there are too many connections, and ends this one. None of the client's requests has
+    /// been started at that point.
     pub(super) async fn end_with_too_many_connections(&mut self) -> ConnectionEnd {
         let detail = self
             .reconnect_delay_ms()
@@ -91,7 +92,8 @@
         .await
     }
 
-    /// The retry advice for a client that is rejected for want of memory, connections or time.
+    /// Returns the retry advice, in milliseconds, for a client that is rejected because memory, connections or time
+    /// have run out.
     pub(super) fn reconnect_delay_ms(&self) -> Option<u128> {
         let limits = &self.listener.classes.settings().limits;
         retry_after_milliseconds(if limits.retry_after {
--- a/src/net/downstream/cancel.rs
+++ b/src/net/downstream/cancel.rs
@@ -1,8 +1,8 @@
-//! Cancel requests: the registry of cancel keys and of the queries that they cancel.
+//! Cancel requests: the registry of cancel keys and of the queries that can be cancelled with them.
 //!
-//! A cancel request arrives on a connection of its own and carries the key that another connection was sent at its
-//! start. It applies to the query that this connection waits for at that moment, and to no later one. What a cancelled
-//! query is answered, and what becomes of its attempts, is not decided here.
+//! A cancel request arrives on a connection of its own and carries the key that another connection was sent at startup.
+//! It cancels the query that this other connection is waiting for at that moment, and no later one. The answer to a
+//! cancelled query, and what happens to its attempts, are decided elsewhere.
 
 use crate::net::pg::CancelKey;
 use std::cell::RefCell;
@@ -13,11 +13,11 @@
 /// The cancel keys of all client connections.
 #[derive(Default)]
 pub struct CancelRegistry {
-    /// For each key the way to cancel its connection's query, while the connection waits for one.
+    /// For each key, the sender that cancels the connection's query, or `None` while the connection waits for no query.
     by_key: RefCell<HashMap<CancelKey, Option<oneshot::Sender<()>>>>,
 }
 
-/// The key of one connection, unregistered when it is dropped.
+/// The registration of one connection's key, removed when this is dropped.
 pub struct CancelRegistration {
     cancels: Rc<CancelRegistry>,
     key: CancelKey,
@@ -30,13 +30,13 @@
 }
 
 impl CancelRegistry {
-    /// Registers a new key. None where the operating system gives no random numbers: a key that can be guessed is worse
-    /// than none.
+    /// Registers a new random key. Returns `None` if the operating system provides no random numbers, because a key
+    /// that can be guessed is worse than no key.
     pub fn register(self: &Rc<Self>) -> Option<CancelRegistration> {
         let mut key = CancelKey::default();
         loop {
             getrandom::fill(&mut key).ok()?;
-            // Two connections with one key would cancel each other's queries.
+            // Two connections with the same key would cancel each other's queries.
             if !self.by_key.borrow().contains_key(&key) {
                 break;
             }
@@ -48,22 +48,22 @@
         })
     }
 
-    /// CancelRegistry the query that the connection of this key waits for, if there is one.
+    /// Cancels the query that the connection with this key is waiting for, if there is one.
     pub fn cancel(&self, key: &CancelKey) {
         if let Some(sender) = self.by_key.borrow_mut().get_mut(key).and_then(Option::take) {
-            // The query may have ended in this moment, and its receiver with it.
+            // Sending fails if the query has just ended and its receiver was dropped.
             let _ = sender.send(());
         }
     }
 }
 
 impl CancelRegistration {
-    /// The key, which the client is sent at its start.
+    /// Returns the key that is sent to the client at startup.
     pub fn key(&self) -> &CancelKey {
         &self.key
     }
 
-    /// Lets the connection's query be cancelled until the result is dropped.
+    /// Makes the connection's current query cancellable until the result is dropped.
     pub fn query(&self) -> CancellableQuery<'_> {
         let (cancel, cancelled) = oneshot::channel();
         self.cancels
@@ -80,7 +80,8 @@
 impl CancellableQuery<'_> {
     /// Returns once the query is cancelled.
     pub async fn cancelled(&mut self) {
-        // An error would mean that the sender is gone, which stays registered for as long as this lives.
+        // The receiver fails only if the sender was dropped, and the sender stays registered for as long as this value
+        // lives.
         let _ = (&mut self.cancelled).await;
     }
 }
--- a/src/net/downstream/client_input.rs
+++ b/src/net/downstream/client_input.rs
@@ -1,9 +1,9 @@
-//! Reading from a client: the wait for its next bytes, which several events may end, and the wait for something else
-//! during which the client may disconnect.
+//! Reads a client's input, either while waiting for the next message, which several events can interrupt, or while
+//! waiting for an answer, during which the client may disconnect.
 //!
-//! While a request waits for its answer, what comes behind it is read ahead as far as memory allows. Beyond that messages
-//! are dropped and rejected in their turn, so that the client's end is seen behind them. The connection goes on: answers
-//! are due on it.
+//! While a request waits for its answer, the messages behind it are read ahead as far as memory allows. Further
+//! messages are dropped, and each is rejected in its turn, so that the gateway still notices when the client
+//! disconnects. The connection stays open because answers are due on it.
 
 use crate::net::buffers::BUFFER_SIZE;
 use crate::net::downstream::connection::{ClientConnection, ConnectionEnd};
@@ -19,57 +19,58 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How long a client may be silent before its first message is complete, or in the middle of a message. Clients that send
-/// nothing, or half of something, would otherwise hold their connections for ever.
+/// How long a client may send nothing during startup or in the middle of a message. Clients that send nothing, or only
+/// part of a message, would otherwise hold their connections for ever.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// How long a whole message may take to arrive, beside the time that its size allows for.
+/// How long a message may take to arrive, in addition to the time that [`MIN_INPUT_RATE`] allows for the bytes received
+/// so far.
 const MESSAGE_TIMEOUT: Duration = Duration::from_secs(5);
-/// The slowest accepted rate of input, in bytes per second: each received byte extends the time of its message.
+/// Minimum accepted rate of input, in bytes per second: each received byte extends the deadline of its message.
 const MIN_INPUT_RATE: f64 = 16_384.0;
-/// Where clients are sent away, a connection that has been idle for so long ends. Connections in use end behind an answer
-/// before that, so that few requests arrive just when their connection ends.
+/// How long a connection may be idle while clients are being disconnected. Connections in use are closed after an
+/// answer before this time, so that few requests arrive at the moment when their connection is closed.
 const DRAIN_IDLE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Between two reads of a client that floods. With [`MAX_DROPPING_READS`] that is 64 MB a second: the end of a client that
-/// sends much and leaves is seen in time.
+/// Pause between two reads from a client that floods. With [`MAX_DROPPING_READS`] buffers per read this allows 64 MB
+/// per second, fast enough to notice in time that a client has sent a lot and disconnected.
 const FLOOD_READ_INTERVAL: Duration = Duration::from_millis(1);
-/// How often input that is dropped is read at a time, a buffer's size each.
+/// Maximum number of buffers of input that are read and dropped in one step.
 const MAX_DROPPING_READS: usize = 8;
-/// How often input is read at a time that came during a long write.
+/// Maximum number of reads after a long write, for the input that arrived during the write.
 const MAX_RESUMING_READS: usize = 256;
-/// How many bytes are read in the moment in which a connection is to end: enough to see that something has arrived.
+/// Maximum number of bytes in the last read before a connection is closed: enough to detect that input has arrived.
 const LAST_READ_BYTES: usize = 4096;
 
-/// What a wait for the client's next bytes ends with.
+/// The event that ends a wait for input.
 enum InputEvent {
     /// The socket is readable.
     Readable,
-    /// Clients are sent away, and this one has been idle.
+    /// Clients are being disconnected, and this one has been idle for [`DRAIN_IDLE_TIMEOUT`].
     Draining,
-    /// The connection is needed for another client.
+    /// The connection was evicted in favour of another client.
     Evicted,
-    /// The message took too long.
+    /// The message did not arrive completely before its deadline.
     TimedOut,
 }
 
-/// What a read without a wait has come to.
+/// The result of a non-blocking read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadProgress {
     /// Bytes were read.
     Read,
-    /// Nothing has arrived.
+    /// No bytes were available.
     Nothing,
-    /// There is no memory for the rest of the message.
+    /// No memory is available for the rest of the message.
     NoRoom,
 }
 
-/// How much of the next message has arrived when a wait begins.
+/// How much of the next message has arrived at the beginning of a wait.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Received {
     Nothing,
     PartOfMessage,
 }
 
-/// A wait for the client's next bytes.
+/// A wait for input from the client.
 #[derive(Clone, Copy)]
 struct InputWait {
     kind: QuietKind,
@@ -77,19 +78,19 @@
 }
 
 impl InputWait {
-    /// The connection is between two messages.
+    /// Returns whether the connection is between two messages.
     fn is_idle(self) -> bool {
         self.received == Received::Nothing && self.kind == QuietKind::Idle
     }
 }
 
 impl ClientConnection {
-    /// Waits for more of the client's messages and reads it. Between two messages the connection may end.
+    /// Waits for more input and reads it. The connection may be drained or evicted while it waits, and closed then.
     pub(super) async fn read_more(
         &mut self,
         kind: QuietKind,
     ) -> Result<ReadProgress, ConnectionEnd> {
-        // The buffer goes back to its pool while the client is silent.
+        // An idle connection holds no buffer, so that the pool can reuse it.
         self.input.release_if_empty();
         let received = if self.input.is_empty() {
             Received::Nothing
@@ -98,7 +99,7 @@
         };
         let wait = InputWait { kind, received };
         if !self.wait_for_input(wait).await? {
-            // What came in the moment of the connection's end has been read already.
+            // Input that arrived just before the connection was to be closed has been read already.
             return Ok(ReadProgress::Read);
         }
         let was_idle = wait.is_idle();
@@ -109,12 +110,12 @@
         Ok(progress)
     }
 
-    /// Waits until the socket is readable, and returns true; false, where input was read in the moment in which the
-    /// connection was to end.
+    /// Waits until the socket is readable and returns `true`. Returns `false` if the connection was about to be closed
+    /// and input was found and read at that moment.
     async fn wait_for_input(&mut self, wait: InputWait) -> Result<bool, ConnectionEnd> {
         match self.next_input_event(wait).await? {
             InputEvent::Readable => Ok(true),
-            // Closing now would lose bytes that have arrived in this very moment.
+            // A request may have arrived since the last poll: closing without a last read would lose it.
             InputEvent::Draining | InputEvent::Evicted
                 if wait.is_idle() && self.read_before_close()? =>
             {
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Waits for more of a message that is dropped, of which so many bytes are missing.
+    /// Waits for more input of a dropped message, then reads and drops up to `missing` bytes.
     pub(super) async fn read_to_drop(&mut self, missing: usize) -> Result<(), ConnectionEnd> {
         let wait = InputWait {
             kind: QuietKind::Idle,
@@ -147,7 +148,7 @@
         Ok(())
     }
 
-    /// Reads what there is, `most` bytes and [`MAX_DROPPING_READS`] buffers at most, and drops it.
+    /// Reads and drops the available input, limited to `max_bytes` and to [`MAX_DROPPING_READS`] buffers.
     fn read_and_drop(&mut self, most: usize) -> Result<ReadProgress, ConnectionEnd> {
         let mut scratch = self.listener.pool.acquire();
         let mut remaining = most;
@@ -168,7 +169,7 @@
         Ok(ReadProgress::Read)
     }
 
-    /// The number of bytes that a read has brought; `None` where nothing has arrived.
+    /// Returns the number of bytes that were read, or `None` if no bytes were available.
     fn read_length(&mut self, result: io::Result<usize>) -> Result<Option<usize>, ConnectionEnd> {
         match result {
             Ok(0) => Err(ConnectionEnd::Disconnected),
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Waits until there is something to read, or until the connection is to end.
+    /// Waits until the socket is readable, or until the connection has to be closed.
     async fn next_input_event(&self, wait: InputWait) -> Result<InputEvent, ConnectionEnd> {
         let idle = wait.is_idle();
         let nothing_received = wait.received == Received::Nothing;
@@ -196,7 +197,8 @@
         } else {
             wait.kind
         };
-        // Half a message keeps its connection for as long as it may take; a message that has not begun does not.
+        // After startup, a partial message protects its connection from eviction until its deadline; an idle connection
+        // may be evicted.
         let mut evictable =
             (nothing_received || kind != QuietKind::Idle).then(|| self.permit.wait_quietly(kind));
         tokio::select! {
@@ -211,18 +213,18 @@
         }
     }
 
-    /// When an incomplete message times out, if nothing more of it arrives.
+    /// Returns the time at which an incomplete message times out if no more bytes of it arrive.
     fn input_deadline(&self) -> Instant {
         let time_for_size = Duration::from_secs_f64(self.input.len() as f64 / MIN_INPUT_RATE);
         let whole_by = self.message_started + MESSAGE_TIMEOUT + time_for_size;
         whole_by.min(self.last_input + SILENCE_TIMEOUT)
     }
 
-    /// Reads what there is, if anything, without a wait: the runtime may report a socket as readable when it is not, and
-    /// a read that waits then has no time limit.
+    /// Reads the available input without waiting: the runtime may report a socket as readable when it is not, and a
+    /// blocking read would then have no time limit.
     fn read_available(&mut self, purpose: ReadPurpose) -> Result<ReadProgress, ConnectionEnd> {
-        // A client that never stops sending must not keep its connection open until the process is killed: at last only
-        // the rest of a message that has begun is read.
+        // A client that never stops sending must not keep its connection open until the process is killed: once the
+        // shutdown has ended reading, only the rest of a partial message is read.
         let most = if self.listener.request_context.reading_is_over() {
             self.input.missing_bytes()
         } else {
@@ -245,15 +247,16 @@
             return Ok(ReadProgress::Nothing);
         };
         let now = Instant::now();
-        // What is found at the end of a pause may have come at its beginning.
+        // Input that is read after an interruption may have arrived at the beginning of it.
         let arrived_at = self.reading_paused_since.unwrap_or(now);
         self.input.record_read(length, arrived_at);
         self.last_input = now;
         Ok(ReadProgress::Read)
     }
 
-    /// Reads what the operating system holds at this moment of a connection that is about to end, and says whether there
-    /// was anything. Only for a connection without input, which always has room for so little.
+    /// Reads the bytes that the operating system has received on a connection that is about to be closed, and returns
+    /// whether there were any. May be called only without unprocessed input, because the buffer then always has space
+    /// for a read of this size.
     pub(super) fn read_before_close(&mut self) -> Result<bool, ConnectionEnd> {
         let mut bytes = [0; LAST_READ_BYTES];
         match read_now(&self.stream, &mut bytes) {
@@ -271,8 +274,8 @@
         }
     }
 
-    /// Reads what has come since `since`, when a long write began, as if it had come then: a request among it may be given
-    /// less time than it has, and never more.
+    /// Reads the input that arrived during a long write, which began at `since`, and records that time as its arrival.
+    /// A request in this input may be given less time than its timeout, but never more.
     pub(super) fn read_behind_long_write(&mut self, since: Instant) -> Result<(), ConnectionEnd> {
         increment(&self.metrics().connections.input_paused);
         self.reading_paused_since = Some(since);
@@ -284,8 +287,8 @@
         Ok(())
     }
 
-    /// Waits for something else, and meanwhile for the client to disconnect. What the client sends ahead is kept as far as
-    /// there is room for it, and dropped beyond that.
+    /// Awaits `wait` and returns its value, or returns an error as soon as the client disconnects. Input that arrives
+    /// meanwhile is read ahead as far as memory allows and dropped beyond that.
     pub(super) async fn wait_while_connected<T>(
         &mut self,
         wait: impl Future<Output = T>,
@@ -303,7 +306,7 @@
         }
     }
 
-    /// Waits until the socket is readable; for a client that floods also until it may be read again.
+    /// Waits until the socket is readable. For a client that floods, pauses first to limit its rate.
     async fn next_readable(&self) -> io::Result<()> {
         if self.input.is_flood() {
             sleep(FLOOD_READ_INTERVAL).await;
@@ -312,7 +315,7 @@
     }
 }
 
-/// Whether a read failed only because nothing has arrived.
+/// Returns whether a read failed only because no bytes were available.
 fn is_nothing_to_read(error: &io::Error) -> bool {
     matches!(
         error.kind(),
@@ -320,7 +323,7 @@
     )
 }
 
-/// Returns once clients are sent away and this one has been idle until `idle_until`.
+/// Returns once clients are being disconnected and `idle_until` has passed.
 async fn drained(mut mode: watch::Receiver<ServingMode>, idle_until: Instant) {
     loop {
         if mode
@@ -337,7 +340,8 @@
     }
 }
 
-/// Returns once the connection is evicted; never, while it may not be.
+/// Returns once the connection is evicted. Never returns if `wait` is `None`, because the connection may not be evicted
+/// then.
 async fn evicted(wait: &mut Option<EvictableWait<'_>>) {
     match wait {
         Some(wait) => wait.evicted().await,
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -1,5 +1,5 @@
-//! One client connection, from its start to its end: the messages in the order in which they arrive, each answered
-//! before the next is read.
+//! One client connection, from startup to close. Messages are processed in the order in which they arrive, and each is
+//! answered before the next one is processed.
 
 use crate::net::buffers::Buffer;
 use crate::net::downstream::cancel::CancelRegistration;
@@ -21,27 +21,29 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// How long the gateway still reads from a client after it has closed its own side: far longer than a round trip, so
-/// that the last answer has arrived.
+/// How long the gateway keeps reading from a client after closing its own side of the connection: far longer than a
+/// round trip, so that the last answer arrives.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// How many bytes it reads then at most: several of the largest messages, but no endless stream.
+/// Maximum number of bytes that are read and discarded while lingering: room for several messages of maximum size, but
+/// not for an endless stream.
 const LINGER_BYTES: usize = 1 << 20;
 
-/// Most request ids in a log line.
+/// Maximum number of request ids in one log line.
 const MAX_LOGGED_IDS: usize = 5;
-/// The answer to a request for encryption: there is none, and the client goes on without.
+/// The answer to a request for encryption: it is refused, and the client continues without encryption.
 const ENCRYPTION_REFUSED: &[u8] = b"N";
 
 /// Why a connection ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ConnectionEnd {
-    /// The client has disconnected, or the network has failed: nothing more can be sent.
+    /// The client has disconnected or the network has failed, so that nothing more can be sent.
     Disconnected,
-    /// A value breaks off that is passed on while it arrives: only the connection's end tells the client so.
+    /// The host's answer broke off after a part of it was forwarded. Only the end of the connection tells the client
+    /// that the value is incomplete.
     Truncated,
-    /// The gateway closes it while no answer is due.
+    /// The gateway closes the connection while no answer is due.
     Closed,
-    /// The gateway closes it and has sent an error that says why.
+    /// The gateway closes the connection after sending an error that states the reason.
     ErrorSent,
 }
 
@@ -51,51 +53,55 @@
     }
 }
 
-/// A message of the client.
+/// A message from the client.
 struct Message {
-    /// Its type; see [`pg::tag`].
+    /// The type byte of the message; see [`pg::tag`].
     tag: u8,
     body: MessageBody,
 }
 
-/// Where the body of a message is.
+/// Location of a message's body.
 pub(super) enum MessageBody {
-    /// At this place of the input, which begins with the message.
+    /// The body is at this range of the unprocessed input, which begins with the message.
     InInput(Range<usize>),
-    /// Nowhere: there was no memory for it.
+    /// The body was discarded because no memory was available for it.
     Discarded,
 }
 
-/// What follows an untyped message at the start of a connection.
+/// What the client may send after a startup message, which has no type byte.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum StartupProgress {
-    /// The client sends another one.
+    /// The client sends another startup message.
     AwaitingNext,
     /// The client may send queries.
     Complete,
 }
 
-/// A client's connection and its unprocessed input. When it is dropped, the socket is closed before the permit is
-/// released: the fields are dropped in this order.
+/// A client's connection and its unprocessed input. The fields are dropped in the order of their declaration, so that
+/// the socket is closed before the permit is released.
 pub(super) struct ClientConnection {
     pub(super) stream: TcpStream,
     pub(super) permit: ConnectionPermit,
-    /// What has been read and not been processed yet.
+    /// Input that was read and has not been processed.
     pub(super) input: InputBuffer,
-    /// Since when input has not been read, until all of it is read again.
+    /// Start of a long write during which no input was read. `None` once all input that arrived during the write has
+    /// been read.
     pub(super) reading_paused_since: Option<Instant>,
-    /// When the client connected, or when the message began that is incomplete.
+    /// Time from which the current message is timed: when the client connected, when the previous message was processed
+    /// or, after an idle wait, when the first bytes of the message arrived.
     pub(super) message_started: Instant,
-    /// When bytes of that message last arrived.
+    /// When bytes last arrived from the client.
     pub(super) last_input: Instant,
-    /// After an error in the extended query protocol all messages are ignored up to the next Sync.
+    /// Whether messages of the extended query protocol are ignored until the next Sync, as the protocol requires after
+    /// an error.
     skipping_until_sync: bool,
-    /// The client's cancel key, once its start is complete.
+    /// Registration of the client's cancel key. `None` before startup is complete, while a query is waiting for its
+    /// answer, and if no key could be generated.
     pub(super) cancel_registration: Option<CancelRegistration>,
     pub(super) listener: Rc<ClientListener>,
 }
 
-/// Serves a client from its first byte to the end of its connection.
+/// Serves a client from its first byte until the connection is closed.
 pub(super) async fn serve_connection(
     listener: Rc<ClientListener>,
     stream: TcpStream,
@@ -126,7 +132,7 @@
         &self.listener.request_context.metrics
     }
 
-    /// Serves the client until its connection is to end, and returns why.
+    /// Serves the client until the connection has to be closed, and returns the reason.
     async fn serve_messages(&mut self) -> Result<Infallible, ConnectionEnd> {
         self.stream.set_nodelay(true)?;
         self.start_up().await?;
@@ -143,8 +149,9 @@
         }
     }
 
-    /// Where clients are sent away, a connection ends right behind an answer, since the client learns of it with the
-    /// answer; but not if its next request has arrived already.
+    /// Returns whether to close the connection now that an answer has been written. While clients are being
+    /// disconnected, a connection is closed right after an answer because the client then notices the close together
+    /// with the answer; the connection stays open if the next request has already arrived.
     fn ends_behind_answer(&mut self) -> Result<bool, ConnectionEnd> {
         if !self.listener.serving_state.mode().disconnects_clients() || !self.input.is_empty() {
             return Ok(false);
@@ -153,7 +160,7 @@
         Ok(reading_is_over || !self.read_before_close()?)
     }
 
-    /// Reads the client's startup messages and answers them, up to the first ReadyForQuery.
+    /// Reads and answers the client's startup messages, up to and including the first ReadyForQuery.
     async fn start_up(&mut self) -> Result<(), ConnectionEnd> {
         loop {
             match pg::startup(self.input.unread()) {
@@ -180,7 +187,7 @@
                 self.stream.write_all(ENCRYPTION_REFUSED).await?;
                 Ok(StartupProgress::AwaitingNext)
             }
-            // There is no answer, whether or not the key is that of a connection.
+            // A cancel request gets no answer, whether or not its key belongs to a connection.
             Startup::Cancel(key) => {
                 self.listener.cancels.cancel(&key);
                 Err(ConnectionEnd::Closed)
@@ -202,8 +209,8 @@
         }
     }
 
-    /// Rejects the queries that a client has sent right behind its startup on a connection that is one too many. A single
-    /// one needs no answer of its own: the error that ends the connection is its answer.
+    /// Rejects the queries that a client sent together with its startup message on a connection over the limit. A
+    /// single query needs no answer of its own: the error that ends the connection answers it.
     async fn reject_first_queries(&mut self) -> Result<(), ConnectionEnd> {
         let queries = self.input.unanswered_queries();
         if queries < 2 {
@@ -219,7 +226,8 @@
         self.write(&out).await
     }
 
-    /// Returns the next message once it is whole, or once it has been read and dropped for want of memory.
+    /// Returns the next message once it has arrived completely, or once it has been dropped because no memory was
+    /// available for it.
     async fn next_message(&mut self) -> Result<Message, ConnectionEnd> {
         self.message_started = Instant::now();
         loop {
@@ -243,7 +251,7 @@
         }
     }
 
-    /// Takes a message that was dropped; `None` where it has not arrived whole, but more of it has.
+    /// Handles the next dropped message. Returns `None` after reading more of a message that is incomplete.
     async fn take_dropped(
         &mut self,
         dropped: DroppedMessage,
@@ -265,7 +273,8 @@
         }
     }
 
-    /// A query that is made of a message while that is still in the input; `None` for messages of other types.
+    /// Parses the message if it is a query, while its body is still in the input. Returns `None` for messages of other
+    /// types.
     fn parse_if_query(&self, message: &Message) -> Option<Query> {
         (message.tag == pg::tag::QUERY).then(|| self.parse_query(&message.body))
     }
@@ -276,8 +285,8 @@
         }
     }
 
-    /// Handles one message and puts its answer into `out`. Only simple queries are supported: a message of the extended
-    /// query protocol is answered with an error.
+    /// Handles one message and appends its answer to `out`. Only simple queries are supported: the first message of an
+    /// extended query is answered with an error, and the others are ignored until Sync.
     async fn handle_message(
         &mut self,
         tag: u8,
@@ -305,7 +314,7 @@
                 self.put_unsupported(out);
                 pg::put_ready(out);
             }
-            // The gateway never starts a copy, so that the messages of one are unexpected too.
+            // The gateway never starts a COPY, so that COPY messages are unexpected too.
             _ => return Err(self.end_with_violation("an unknown message").await),
         }
         Ok(())
@@ -317,7 +326,7 @@
         pg::put_error(out, "ERROR", code::FEATURE_NOT_SUPPORTED, message, None);
     }
 
-    /// Ends the connection, so that what was sent last arrives.
+    /// Closes the connection in a way that lets the last answer arrive.
     async fn close(&mut self, reason: ConnectionEnd) {
         match reason {
             ConnectionEnd::Disconnected => {}
@@ -329,9 +338,9 @@
         }
     }
 
-    /// Counts and logs the whole queries that have been read and get no answer, as the gateway ends the connection before
-    /// their turn. That is so behind a breach of the protocol, a Terminate or a value that breaks off; it is a fault anywhere
-    /// else.
+    /// Counts and logs the complete queries that were read but get no answer because the gateway closes the connection
+    /// before their turn. This is expected after a protocol violation, a Terminate message or a truncated answer; in
+    /// any other case it is a fault.
     fn report_unanswered(&self, reason: ConnectionEnd) {
         let unanswered = self.input.unanswered_queries();
         if unanswered == 0 {
@@ -347,9 +356,9 @@
         log!("client {client}: the gateway ends the connection ({reason:?}), {unanswered} queries unanswered: {ids}");
     }
 
-    /// Closes the gateway's side and reads on for a while, discarding what arrives: its sender learns that the
-    /// connection ended before the request was read. Closing a socket with unread bytes would reset the connection, and
-    /// the client could lose the last answer.
+    /// Closes the gateway's side of the connection, then reads and discards input for a limited time: the client learns
+    /// that the connection ended before its later requests were processed. Closing a socket with unread bytes would
+    /// reset the connection, and the client could lose the last answer.
     async fn linger(&mut self) {
         let ClientConnection {
             stream,
--- a/src/net/downstream/connection_limit.rs
+++ b/src/net/downstream/connection_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on open client connections, and the choice of the quiet connections that are closed when it is reached.
+//! The limit on open client connections, and the choice of the connections that are evicted when it is reached.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,35 +7,35 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Connections allowed beyond the limit: those that are being rejected, and those that are evicted and still linger.
-/// Their descriptors are a part of those that the process reserves beside the limit.
+/// Maximum number of connections beyond the limit: connections that are being rejected, and evicted ones that are still
+/// lingering. The descriptors for them are part of those that the process reserves in addition to the limit.
 const MAX_OVER_LIMIT: usize = 24;
-/// How long a connection may take to its first message before it may be evicted: clients that connect and send nothing
-/// would otherwise hold all connections for ever.
+/// How long a connection may wait for its client during startup before it may be evicted. Clients that connect and send
+/// nothing would otherwise hold all connections for ever.
 const STARTING_GRACE: Duration = Duration::from_millis(500);
-/// How long a connection may be idle between two requests before it may be evicted, as the platform specifies:
-/// clients that send one request and stay would otherwise hold all connections for ever.
+/// How long a connection may be idle between two requests before it may be evicted, as the platform specifies. Clients
+/// that send one request and stay connected would otherwise hold all connections for ever.
 const IDLE_GRACE: Duration = Duration::from_secs(2);
-/// How long it may be idle while more connections are open than usual. The platform lets clients hold a third of a
-/// gateway's descriptors: a crowd that sends one request each and stays would leave none for clients that send request
-/// after request.
+/// How long a connection may be idle while more connections than usual are open. The platform lets clients hold a third
+/// of a gateway's descriptors: many clients that each send one request and stay connected would leave none for clients
+/// that send one request after another.
 const CROWDED_IDLE_GRACE: Duration = Duration::from_millis(150);
-/// How often [`ConnectionLimit::close_longest_quiet`] is called: short against [`CROWDED_IDLE_GRACE`].
+/// Interval between two calls of [`ConnectionLimit::close_longest_quiet`]: short compared with [`CROWDED_IDLE_GRACE`].
 pub const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a connection waits while its client waits for nothing.
+/// Why a connection may be evicted: its client is not waiting for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum QuietKind {
-    /// Its client has been sent the reason why it ends, and the connection stays open only until that has arrived: it no
-    /// longer counts towards the limit.
+    /// The connection is being closed and stays open only until the client has received the last answer. It no longer
+    /// counts towards the limit.
     Leaving,
     /// The client has not completed its startup yet.
     Starting,
-    /// The connection is between two requests.
+    /// The connection is idle between two requests.
     Idle,
 }
 
-/// Orders the waits by kind, and within a kind by the time at which they began.
+/// Orders waiting connections by kind and, within a kind, by the time at which the wait began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitKey {
     kind: QuietKind,
@@ -46,21 +46,21 @@
 struct WaitEntry {
     since: Instant,
     counted: Rc<Cell<bool>>,
-    /// Dropped to evict the connection.
+    /// Dropping this sender evicts the connection.
     _evict: oneshot::Sender<()>,
 }
 
 /// The limit on all client connections of a gateway.
 pub struct ConnectionLimit {
-    /// The greatest number of connections that count, over all processes of this gateway.
+    /// Maximum number of connections that count towards the limit, over all processes of this gateway.
     limit: usize,
-    /// Above this number of connections, idle ones are evicted sooner.
+    /// Number of connections above which idle ones are evicted sooner.
     usual: usize,
-    /// Descriptors that another process of this gateway needs for its clients and itself, during a hot restart.
+    /// Descriptors that another process of this gateway uses for its clients and itself during a hot restart.
     other_process_descriptors: Cell<usize>,
-    /// Connections that count towards the limit.
+    /// Number of connections that count towards the limit.
     counted: Cell<usize>,
-    /// All connections, with those that are being rejected or have been evicted.
+    /// Number of all open connections, including those that are being rejected or have been evicted.
     open: Cell<usize>,
     waits: RefCell<BTreeMap<WaitKey, WaitEntry>>,
     next_sequence: Cell<u64>,
@@ -69,13 +69,14 @@
 /// The permit of one connection, released when it is dropped.
 pub struct ConnectionPermit {
     connection_limit: Rc<ConnectionLimit>,
-    /// Whether the connection counts towards the limit: it was accepted within it, and has not been evicted since.
+    /// Whether the connection counts towards the limit. It does if it was accepted within the limit and has neither
+    /// been evicted nor begun to close since.
     counted: Rc<Cell<bool>>,
-    /// The limit was reached: the connection is to be rejected.
+    /// Whether the limit was already reached, so that the connection has to be rejected.
     pub over_limit: bool,
 }
 
-/// The time in which a connection may be evicted, which ends when this is dropped.
+/// A period during which a connection may be evicted. It ends when this is dropped.
 pub struct EvictableWait<'a> {
     connection_limit: &'a ConnectionLimit,
     key: WaitKey,
@@ -83,7 +84,8 @@
 }
 
 impl ConnectionLimit {
-    /// A limit of `limit` connections, of which `usual` are open on usual days.
+    /// Creates a limit of `limit` connections. While more than `crowding_threshold` of them are open, idle ones are
+    /// evicted sooner.
     pub fn new(limit: usize, usual: usize) -> Rc<Self> {
         Rc::new(ConnectionLimit {
             limit,
@@ -96,38 +98,38 @@
         })
     }
 
-    /// The number of connections that are open now.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Sets the descriptors that another process of this gateway needs for its clients and itself: they count towards
-    /// the limit of this one.
+    /// Sets the number of descriptors that another process of this gateway uses for its clients and itself. They reduce
+    /// the limit of this process.
     pub fn set_other_process_descriptors(&self, descriptors: usize) {
         self.other_process_descriptors.set(descriptors);
     }
 
-    /// What the other process leaves of the limit.
+    /// Returns the part of the limit that is available to this process.
     fn own_limit(&self) -> usize {
         self.limit
             .saturating_sub(self.other_process_descriptors.get())
     }
 
-    /// Whether the limit is reached, so that a new connection is accepted only if another is evicted.
+    /// Returns whether the limit is reached, so that a new connection is accepted only if another one is evicted.
     pub fn is_full(&self) -> bool {
         self.counted.get() >= self.own_limit()
     }
 
-    /// A permit for a new connection, if need be that of the connection that has been quiet longest. None where even
-    /// the number of connections beyond the limit is used up.
+    /// Returns a permit for a new connection, evicting the connection that has been waiting longest if necessary.
+    /// Returns `None` if even the connections beyond the limit are used up.
     pub fn acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
         if self.open.get() >= self.own_limit() + MAX_OVER_LIMIT
             && !self.evict_first(QuietKind::Leaving, Duration::ZERO)
         {
             return None;
         }
-        // One eviction may not be enough: a connection that was evicted before, and was served once more since, no
-        // longer counts.
+        // One eviction may not be enough: a connection that was evicted earlier, and has served one more request since,
+        // no longer counts, so that evicting it again frees nothing.
         while self.is_full()
             && (self.evict_first(QuietKind::Starting, STARTING_GRACE)
                 || self.evict_first(QuietKind::Idle, IDLE_GRACE))
@@ -143,15 +145,15 @@
         })
     }
 
-    /// While more connections are open than usual, evicts those that have been idle longest.
+    /// Evicts the connections that have been idle longest, while more connections than usual are open.
     pub fn close_longest_quiet(&self) {
         while self.counted.get() > self.usual
             && self.evict_first(QuietKind::Idle, CROWDED_IDLE_GRACE)
         {}
     }
 
-    /// Evicts the connection of this kind that has been quiet longest, if that is at least `grace`, and says whether it
-    /// did.
+    /// Evicts the connection that has been waiting longest in this state, if that is at least `grace`, and returns
+    /// whether it did.
     fn evict_first(&self, kind: QuietKind, grace: Duration) -> bool {
         let mut waits = self.waits.borrow_mut();
         let all_of_kind = WaitKey { kind, sequence: 0 }..=WaitKey {
@@ -165,12 +167,12 @@
         let Some(evicted) = due.and_then(|key| waits.remove(&key)) else {
             return false;
         };
-        // Its permit is free from now on; the connection itself learns of it when the sender is dropped.
+        // The permit is available from now on. The connection is notified when the sender is dropped.
         self.release(&evicted.counted);
         true
     }
 
-    /// Takes a connection off the count, unless that has been done before.
+    /// Stops counting a connection towards the limit, unless that was done before.
     fn release(&self, counted: &Cell<bool>) {
         let was_counted = counted.replace(false);
         self.counted
@@ -179,7 +181,8 @@
 }
 
 impl ConnectionPermit {
-    /// Lets the connection be evicted until the result is dropped: its client waits for nothing.
+    /// Allows the connection to be evicted until the result is dropped. Must be called only while its client waits for
+    /// no answer.
     pub fn wait_quietly(&self, kind: QuietKind) -> EvictableWait<'_> {
         let connection_limit = &*self.connection_limit;
         if kind == QuietKind::Leaving {
@@ -206,7 +209,7 @@
 impl EvictableWait<'_> {
     /// Returns once the connection is evicted.
     pub async fn evicted(&mut self) {
-        // The sender is dropped and never sends: an error is the signal.
+        // The sender never sends a value. Dropping it is the signal, which the receiver reports as an error.
         let _ = (&mut self.evicted).await;
     }
 }
--- a/src/net/downstream/dropped_input.rs
+++ b/src/net/downstream/dropped_input.rs
@@ -1,64 +1,66 @@
-//! Messages of a client that there is no room for. They are dropped while they arrive, and only counted: each query gets a
-//! rejection when its turn comes, and the client's end behind them is seen at once.
+//! Messages that are dropped because no memory is available for them. They are only counted while they arrive: each
+//! query is rejected in its turn, and the gateway still notices at once when the client disconnects.
 
 use crate::net::pg;
 
-/// A client of whose input more than this is dropped, in bytes, floods: it is read at a limited rate, so that it does not use
-/// up the processor.
+/// Number of dropped bytes from which a client counts as flooding. It is then read at a limited rate, so that it does
+/// not use up the processor.
 const FLOOD_SIZE: usize = 16 * pg::MAX_MESSAGE_SIZE;
 
-/// What follows in the order of the dropped messages.
+/// The next dropped message, in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DroppedMessage {
-    /// A query.
+    /// A complete query.
     Query,
-    /// A message that has not arrived whole: so many bytes are missing to the next thing that is known of it.
+    /// An incomplete message, with the number of bytes `missing` from its header or, once the header is complete, from
+    /// its body.
     Incomplete { missing: usize },
-    /// The client ends the connection.
+    /// A Terminate message: the client ends the connection.
     Terminate,
-    /// A message that breaks the protocol, or one of the extended query protocol, which is not supported.
+    /// A message that violates the protocol, or one that is neither a simple query nor Terminate and therefore not
+    /// supported here.
     Violation,
 }
 
-/// The message that ends the connection.
+/// A message that ends the connection, so that later input is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LastMessage {
     Terminate,
     Violation,
 }
 
-/// The dropped messages that have had no answer yet.
+/// The dropped messages that have not been processed yet.
 #[derive(Debug, Default)]
 pub(super) struct DroppedInput {
-    /// Whole queries.
+    /// Number of complete queries.
     queries: usize,
-    /// The beginning of the message behind them, as far as its header.
+    /// The bytes received so far of the header of the message behind the queries.
     header: Vec<u8>,
-    /// Bytes of that message's body that have not arrived.
+    /// Number of bytes of that message's body that have not arrived.
     missing_body: usize,
-    /// What stands behind the queries and ends the connection; nothing behind it counts.
+    /// The message behind the queries that ends the connection, if it has arrived. All input behind it is ignored.
     last: Option<LastMessage>,
-    /// Bytes that were dropped since there last was nothing.
+    /// Number of bytes that were dropped since the last time that no dropped message was waiting.
     dropped: usize,
 }
 
 impl DroppedInput {
-    /// Whether there is anything that has had no answer, or is not whole.
+    /// Returns whether there is any unprocessed message, complete or not.
     pub(super) fn is_active(&self) -> bool {
         self.queries > 0 || !self.header.is_empty() || self.last.is_some()
     }
 
-    /// Whether the client floods.
+    /// Returns whether the client counts as flooding.
     pub(super) fn is_flood(&self) -> bool {
         self.dropped >= FLOOD_SIZE
     }
 
-    /// The whole queries among the messages.
+    /// Returns the number of complete queries.
     pub(super) fn queries(&self) -> usize {
         self.queries
     }
 
-    /// Drops the next bytes.
+    /// Parses the next received bytes, counts the messages in them and drops them.
     pub(super) fn drop_bytes(&mut self, bytes: &[u8]) {
         self.dropped += bytes.len();
         let mut rest = bytes;
@@ -72,7 +74,7 @@
         }
     }
 
-    /// What follows; a query is taken by it.
+    /// Returns the next dropped message. A query is removed; other messages are returned again by the next call.
     pub(super) fn next(&mut self) -> Option<DroppedMessage> {
         if self.queries > 0 {
             self.queries -= 1;
@@ -110,7 +112,7 @@
         taken
     }
 
-    /// The header of a message is complete.
+    /// Handles a complete header: begins the body of a query, or records the message that ends the connection.
     fn begin_message(&mut self) {
         let size = pg::message_size(&self.header).unwrap_or_default();
         match (pg::frame(&self.header), self.header[0]) {
--- a/src/net/downstream/input_buffer.rs
+++ b/src/net/downstream/input_buffer.rs
@@ -1,5 +1,6 @@
-//! What a client has sent and the gateway has not processed yet. Its size is limited by dropping messages, each of which is
-//! rejected in its turn, and never by ending the connection: every request that has been taken gets an answer.
+//! Input that a client has sent and the gateway has not processed yet. Its size is limited by dropping messages, each
+//! of which is rejected in its turn, and never by closing the connection: every request that was received gets an
+//! answer.
 
 use crate::net::buffers::{Buffer, Pool};
 use crate::net::downstream::dropped_input::{DroppedInput, DroppedMessage};
@@ -9,32 +10,33 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// How much a client may send ahead of its answer before its messages are dropped, in bytes: several of the largest ones.
+/// Number of unprocessed bytes from which messages are dropped instead of read ahead: room for several messages of
+/// maximum size.
 const MAX_INPUT_AHEAD: usize = 4 * pg::MAX_MESSAGE_SIZE;
-/// Smallest space, in bytes, that is made for one read.
+/// Minimum space reserved for one read, in bytes.
 const MIN_READ_SPACE: usize = 1024;
 
-/// What a read is for.
+/// The purpose of a read, which decides how much memory it may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// The message that is processed next.
+    /// Reads the message that is processed next.
     NextMessage,
-    /// What comes behind a request that has no answer yet: it must leave memory for the answers.
+    /// Reads messages behind a request that has no answer yet. Such reads must leave memory for the answers.
     ReadAhead,
 }
 
 /// A client's unprocessed input.
 pub(super) struct InputBuffer {
     pool: Rc<Pool>,
-    /// None while there is nothing, so that an idle connection holds no buffer.
+    /// `None` while there is no input, so that an idle connection holds no buffer.
     buffer: Option<Buffer>,
     read_times: ReadTimes,
-    /// Messages behind those in the buffer. While there are some, the buffer takes no more.
+    /// Dropped messages, which follow those in the buffer. While there are any, nothing is added to the buffer.
     dropped: DroppedInput,
 }
 
 impl InputBuffer {
-    /// No input.
+    /// Creates an empty input buffer.
     pub(super) fn new(pool: Rc<Pool>) -> Self {
         InputBuffer {
             pool,
@@ -44,37 +46,37 @@
         }
     }
 
-    /// The unprocessed bytes.
+    /// Returns the unprocessed bytes in the buffer.
     pub(super) fn unread(&self) -> &[u8] {
         self.buffer.as_deref().map_or(&[], |buffer| buffer)
     }
 
-    /// The number of unprocessed bytes.
+    /// Returns the number of unprocessed bytes in the buffer.
     pub(super) fn len(&self) -> usize {
         self.unread().len()
     }
 
-    /// Whether all input has been processed.
+    /// Returns whether all input has been processed, dropped messages included.
     pub(super) fn is_empty(&self) -> bool {
         self.unread().is_empty() && !self.dropped.is_active()
     }
 
-    /// Whether messages are dropped, as there is no room for them.
+    /// Returns whether dropped messages are waiting to be processed, so that arriving input is dropped too.
     pub(super) fn is_dropping(&self) -> bool {
         self.dropped.is_active()
     }
 
-    /// Whether so much has been dropped that the client floods.
+    /// Returns whether so much input has been dropped that the client counts as flooding.
     pub(super) fn is_flood(&self) -> bool {
         self.dropped.is_flood()
     }
 
-    /// The number of whole queries that have had no answer.
+    /// Returns the number of complete queries that have not been processed, dropped ones included.
     pub(super) fn unanswered_queries(&self) -> usize {
         pg::whole_queries(self.unread()).count() + self.dropped.queries()
     }
 
-    /// The ids of the first requests among them, `most` at most.
+    /// Returns the ids of the first unprocessed requests in the buffer, at most `max_ids` of them.
     pub(super) fn first_request_ids(&self, most: usize) -> Vec<&str> {
         pg::whole_queries(self.unread())
             .filter_map(|body| pg::statement(pg::query(body).ok()?).ok())
@@ -83,7 +85,8 @@
             .collect()
     }
 
-    /// Drops the message that has not arrived whole, and with it all that comes until what was dropped has been taken.
+    /// Drops the incomplete message at the end of the buffer. All further input is dropped too, until the dropped
+    /// messages have been processed.
     pub(super) fn start_dropping(&mut self) {
         let Some(buffer) = &mut self.buffer else {
             return;
@@ -95,23 +98,24 @@
         self.release_if_empty();
     }
 
-    /// Drops bytes that have been read.
+    /// Counts and drops bytes that were read but not added to the buffer.
     pub(super) fn drop_bytes(&mut self, bytes: &[u8]) {
         self.dropped.drop_bytes(bytes);
     }
 
-    /// What follows among the dropped messages, once the buffer is empty.
+    /// Returns the next dropped message. The messages in the buffer precede it and must be processed first.
     pub(super) fn next_dropped(&mut self) -> Option<DroppedMessage> {
         self.dropped.next()
     }
 
-    /// How many bytes are missing to the first message, or to its header while that is incomplete.
+    /// Returns the number of bytes that are missing from the first message, or from its header while that is
+    /// incomplete.
     pub(super) fn missing_bytes(&self) -> usize {
         let size = pg::message_size(self.unread()).unwrap_or(pg::HEADER_SIZE);
         size.saturating_sub(self.len()).max(1)
     }
 
-    /// The buffer, with room for a read; `None` where the limits on memory leave none.
+    /// Returns the buffer with space for a read, or `None` if the memory limits do not allow it.
     pub(super) fn space_for(&mut self, purpose: ReadPurpose) -> Option<&mut BytesMut> {
         if purpose == ReadPurpose::ReadAhead && self.len() >= MAX_INPUT_AHEAD {
             return None;
@@ -126,12 +130,12 @@
         has_room.then_some(&mut **buffer)
     }
 
-    /// Records that a read has put `length` bytes into the buffer.
+    /// Records that a read added `length` bytes to the buffer.
     pub(super) fn record_read(&mut self, length: usize, arrived_at: Instant) {
         self.read_times.record(length, arrived_at);
     }
 
-    /// Drops bytes that have been processed.
+    /// Removes `length` processed bytes from the beginning of the buffer.
     pub(super) fn consume(&mut self, length: usize) {
         if let Some(buffer) = &mut self.buffer {
             buffer.advance(length);
@@ -140,14 +144,14 @@
         self.release_if_empty();
     }
 
-    /// Returns the buffer to its pool where there is nothing in it.
+    /// Returns the buffer to its pool if it is empty.
     pub(super) fn release_if_empty(&mut self) {
         if self.unread().is_empty() {
             self.buffer = None;
         }
     }
 
-    /// When the last of the next `length` bytes arrived; `None` where they have not.
+    /// Returns when the last of the next `length` bytes arrived, or `None` if they have not all arrived.
     pub(super) fn arrival_of(&self, length: usize) -> Option<Instant> {
         self.read_times.arrival_of(length)
     }
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -1,4 +1,4 @@
-//! The accept loop: takes client connections from the listening socket and starts a task for each of them.
+//! The accept loop: accepts client connections on the listening socket and spawns a task for each of them.
 
 use crate::net::buffers::Pool;
 use crate::net::downstream::cancel::CancelRegistry;
@@ -15,14 +15,14 @@
 use tokio::task::yield_now;
 use tokio::time::{sleep, timeout};
 
-/// How long a process that ends waits for one more connection in the accept queue. Without a wait the runtime would not
-/// yet know of the connections that arrived last, and they would be reset.
+/// How long a terminating process waits for each further connection in the accept queue. Without this wait, the runtime
+/// would not have noticed the connections that arrived last, and they would be reset.
 const ACCEPT_QUEUE_TIMEOUT: Duration = Duration::from_millis(2);
-/// Pause after a failed accept, for instance because the process has no file descriptor left: the connection stays in
-/// the queue, so that a loop without a pause would spin.
+/// Pause after a failed accept, for example because the process has no file descriptors left. The connection stays in
+/// the queue, so that retrying without a pause would be a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// The listener for PostgreSQL clients, and what all client connections share.
+/// The listener for PostgreSQL clients, with the state that all client connections share.
 pub struct ClientListener {
     /// Executes the clients' requests.
     pub request_context: Rc<RequestContext>,
@@ -32,22 +32,22 @@
     pub classes: Rc<Classes>,
     /// The limit on open client connections.
     pub connection_limit: Rc<ConnectionLimit>,
-    /// Whether clients are served or sent away.
+    /// Whether clients are being served or disconnected.
     pub serving_state: Rc<ServingState>,
     /// The cancel keys of all client connections.
     pub cancels: Rc<CancelRegistry>,
 }
 
 impl ClientListener {
-    /// Marks the process as serving and accepts clients for ever.
+    /// Marks the process as serving, then accepts clients; never returns.
     pub async fn accept(self: Rc<Self>, listener: Rc<TcpListener>) {
         self.serving_state.mark_ready();
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => {
                     self.spawn_connection(stream);
-                    // Evicted connections run first and close their sockets: otherwise a burst of new clients would
-                    // use up all file descriptors.
+                    // Yields so that evicted connections close their sockets first: otherwise a burst of new clients
+                    // would use up all file descriptors.
                     if self.connection_limit.is_full() {
                         yield_now().await;
                     }
@@ -60,8 +60,8 @@
         }
     }
 
-    /// Accepts the connections that are still in the accept queue when the process ends: a request may already have
-    /// arrived on them.
+    /// Accepts the connections that are still in the accept queue when the process terminates, because requests may
+    /// already have arrived on them.
     pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener) {
         while let Ok(Ok((stream, _))) = timeout(ACCEPT_QUEUE_TIMEOUT, listener.accept()).await {
             self.spawn_connection(stream);
--- a/src/net/downstream/query.rs
+++ b/src/net/downstream/query.rs
@@ -1,4 +1,4 @@
-//! One query: the statement becomes a typed request, and the request's outcome becomes the answer.
+//! Executes one query: converts its statement into a typed request, and the request's outcome into the answer.
 
 use crate::net::buffers::Buffer;
 use crate::net::downstream::cancel::{CancelRegistration, CancellableQuery};
@@ -17,11 +17,11 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// How far a position that a client has seen may be ahead of this process's clock. A position that does
-/// not exist yet would be waited for, or overflow.
+/// How far a client's required position may be ahead of this process's clock. A position far in the future would make
+/// the request wait for it until its deadline, or overflow.
 const MAX_POSITION_LEAD: TimeDelta = TimeDelta::from_secs(1);
 
-/// Why a statement does not become a request. The text is the message of the client's error response.
+/// Why a statement cannot be converted into a request. The text is the message of the client's error response.
 #[derive(Debug, Error)]
 pub(super) enum StatementError {
     /// The statement or the comment at its end cannot be parsed.
@@ -39,22 +39,22 @@
     DuplicateRequestId,
 }
 
-/// A query, as it follows from its message.
+/// A query as parsed from its message.
 pub(super) enum Query {
-    /// It has no statement.
+    /// The query has no statement.
     Empty,
-    /// A request, and how long it has waited for its turn.
+    /// A valid request, and the time since the last byte of its message arrived.
     Request {
         call: Box<ClientRequest>,
         waited: Duration,
     },
-    /// Its statement is none that becomes a request.
+    /// The statement cannot be converted into a request.
     Invalid(StatementError),
-    /// There is no memory for it at this moment.
+    /// No memory is available for the query at present.
     NoMemory,
-    /// The gateway is shutting down, and the time for answers is over.
+    /// The gateway is shutting down, and its deadline for answers has passed.
     ShuttingDown,
-    /// Its message breaks the protocol.
+    /// The message violates the protocol.
     Violation(&'static str),
 }
 
@@ -79,8 +79,8 @@
 }
 
 impl ClientConnection {
-    /// Makes a query of the message at the beginning of the input. Its time has been running since its last byte arrived,
-    /// whatever the requests before it took.
+    /// Parses the message at the beginning of the input. The request's timeout is counted from the arrival of its last
+    /// byte, regardless of how long earlier requests took.
     pub(super) fn parse_query(&self, body: &MessageBody) -> Query {
         let MessageBody::InInput(range) = body else {
             return Query::NoMemory;
@@ -92,7 +92,8 @@
         if pg::is_empty(text) {
             return Query::Empty;
         }
-        // One by one the router could not reject many of them before the process is killed.
+        // Many requests may be waiting at this point: rejecting them one by one through the router would take longer
+        // than the time before the process is killed.
         if self.listener.request_context.answers_are_overdue() {
             return Query::ShuttingDown;
         }
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Executes one query and puts its whole answer, with the ReadyForQuery, into `out`. Of a long answer that was
-    /// forwarded while it arrived, `out` gets the end.
+    /// Executes one query and appends its complete answer, including ReadyForQuery, to `out`. If the answer was
+    /// forwarded while it arrived, only its last part is put into `out`.
     pub(super) async fn execute_query(
         &mut self,
         query: Query,
@@ -132,7 +133,7 @@
                 self.put_capacity_rejection(out);
             }
             Query::Request { call, waited } => {
-                // The router rejects it: no time is left for an attempt.
+                // The router rejects this request because no time is left for an attempt.
                 if call.timeout.is_zero() && !waited.is_zero() {
                     increment(&requests.expired);
                 }
@@ -144,12 +145,13 @@
         Ok(())
     }
 
-    /// Rejects a query for want of memory, connections or time, which other clients or a shutdown have taken.
+    /// Rejects a query because memory, connections or time have run out, owing to other clients or to a shutdown.
     pub(super) fn put_capacity_rejection(&self, out: &mut Buffer) {
         put_rejection(self.reconnect_delay_ms(), out);
     }
 
-    /// Clients send an empty query to check a connection: the answer says whether they are served here.
+    /// Answers an empty query, which clients send to check a connection: with an error if clients are being
+    /// disconnected.
     fn put_empty_query_response(&self, out: &mut Buffer) {
         if self.listener.serving_state.mode().disconnects_clients() {
             let message = "clients are sent away";
@@ -160,7 +162,7 @@
         }
     }
 
-    /// Puts the answer without its ReadyForQuery into `out`.
+    /// Puts the answer, without ReadyForQuery, into `out`.
     async fn put_outcome(
         &mut self,
         outcome: QueryOutcome,
@@ -189,7 +191,7 @@
     }
 
     /// Starts the request's task and waits for its answer. If the query is cancelled or the client disconnects, the
-    /// receiver of the answer is dropped, and no further attempt of the request begins.
+    /// receiver of the answer is dropped, so that the request starts no further attempt.
     async fn wait_for_answer(
         &mut self,
         call: ClientRequest,
@@ -201,7 +203,7 @@
         let outcome = async {
             tokio::select! {
                 biased;
-                // A request whose task ends without an answer still gets one.
+                // If the request's task ends without sending an answer, the client gets a failure.
                 answer = answer => QueryOutcome::Answered(answer.unwrap_or(Answer::Failed)),
                 () = cancelled(&mut query) => QueryOutcome::Cancelled,
             }
@@ -212,7 +214,7 @@
         result
     }
 
-    /// Checks a statement and makes a request of it, which has waited for its turn.
+    /// Validates a statement and converts it into a request. Subtracts `queue_time` from its timeout.
     fn parse_request(&self, text: &[u8], waited: Duration) -> Result<ClientRequest, QueryError> {
         let context = &self.listener.request_context;
         let statement =
@@ -229,7 +231,7 @@
         }
         let idempotency_key = idempotency_key(&statement, class)?;
         let minimum_position = self.required_position(&statement, class)?;
-        // A client that says it waits for ever would otherwise hold its request as long.
+        // A client with an unlimited timeout could otherwise keep its request open for ever.
         let timeout =
             Duration::from_secs_f64(statement.timeout_ms / 1e3).min(duration(class.deadline));
         let copy = self.copy_statement(text).ok_or(QueryError::NoMemory)?;
@@ -252,8 +254,8 @@
         })
     }
 
-    /// The position that the answer has to include, in nanoseconds of Unix time, for a class that promises clients to
-    /// read their own writes.
+    /// Returns the position that the answer has to include, in nanoseconds of Unix time, if the class guarantees that
+    /// clients read their own writes and the statement names a position.
     fn required_position(
         &self,
         statement: &pg::Statement<'_>,
@@ -270,14 +272,14 @@
         Ok(position)
     }
 
-    /// A copy of a statement; `None` where there is no memory for it.
+    /// Copies a statement into a pooled buffer. Returns `None` if no memory is available for it.
     fn copy_statement(&self, text: &[u8]) -> Option<Buffer> {
         let mut copy = self.listener.pool.acquire();
         copy.append(text).then_some(copy)
     }
 }
 
-/// The session of a statement: that of the key which it names, in classes whose requests belong to sessions.
+/// Returns the session that the statement's session key identifies, if requests of the class belong to sessions.
 fn session(statement: &pg::Statement<'_>, class: &RequestClass) -> Option<SessionId> {
     let has_sessions = matches!(class.freshness, Freshness::Session | Freshness::Write);
     statement
@@ -286,7 +288,8 @@
         .map(SessionId::of)
 }
 
-/// A statement's idempotency key, by its hash within its group. Only keyed classes use the key, and they require it.
+/// Returns the hash of the group and the statement's idempotency key. Only keyed classes use the key, and they require
+/// it.
 fn idempotency_key(
     statement: &pg::Statement<'_>,
     class: &RequestClass,
@@ -300,7 +303,7 @@
     Ok(Some(key_hash(statement.group, key.as_bytes())))
 }
 
-/// A rejected request has not been executed; `retry_after_ms` is the retry advice.
+/// Appends the error for a request that was rejected without being executed. `retry_after_ms` is the retry advice.
 fn put_rejection(retry_after_ms: Option<u128>, out: &mut Buffer) {
     let detail = retry_after_ms.map(|milliseconds| milliseconds.to_string());
     let message = "turned away, trying again is harmless";
@@ -313,7 +316,7 @@
     );
 }
 
-/// Returns once the query is cancelled; never, where the client has no cancel key.
+/// Returns once the query is cancelled. Never returns if the client has no cancel key.
 async fn cancelled(query: &mut Option<CancellableQuery<'_>>) {
     match query {
         Some(query) => query.cancelled().await,
--- a/src/net/downstream/read_times.rs
+++ b/src/net/downstream/read_times.rs
@@ -1,16 +1,16 @@
-//! When the bytes that a client has sent arrived. The time of a request counts from its last byte, also where it is
-//! handled only once the requests before it have their answers.
+//! Arrival times of a client's input. A request's timeout counts from the arrival of its last byte, even if the request
+//! is processed only after earlier requests have been answered.
 
 use std::collections::VecDeque;
 use tokio::time::Instant;
 
-/// Reads that are told apart; beyond this number the oldest two count as one.
+/// Maximum number of reads whose times are recorded separately. Beyond it, the two oldest are merged.
 const MAX_READS: usize = 256;
 
-/// One read, or several that count as one.
+/// One read, or several that were merged.
 #[derive(Clone, Copy, Debug)]
 struct Read {
-    /// Position behind its last byte, counted from the connection's first byte.
+    /// Position after the last byte of the read, counted from the connection's first byte.
     end: u64,
     arrived_at: Instant,
 }
@@ -36,7 +36,8 @@
         }
     }
 
-    /// The merged read has the earlier time: a request may then be given less time than it has, and never more.
+    /// Merges the two oldest reads and gives the result the earlier time. A request may then be given less time than
+    /// its timeout, but never more.
     fn merge_oldest(&mut self) {
         let oldest = self.reads.pop_front();
         if let (Some(oldest), Some(next)) = (oldest, self.reads.front_mut()) {
@@ -44,7 +45,7 @@
         }
     }
 
-    /// The next `length` bytes have been processed.
+    /// Records that the next `length` bytes were processed.
     pub(super) fn consume(&mut self, length: usize) {
         self.consumed += length as u64;
         while self
@@ -56,7 +57,7 @@
         }
     }
 
-    /// The last `length` bytes count as not received.
+    /// Removes the last `length` bytes, as if they had not been received.
     pub(super) fn forget_last(&mut self, length: usize) {
         self.received -= length as u64;
         while let Some(read) = self.reads.pop_back() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// When the last of the next `length` bytes arrived; `None` where so many have not been received.
+    /// Returns when the last of the next `length` bytes arrived, or `None` if fewer bytes than that have been received.
     pub(super) fn arrival_of(&self, length: usize) -> Option<Instant> {
         let end = self.consumed + length as u64;
         let read = self.reads.iter().find(|read| read.end >= end);
