--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -15,36 +15,37 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Where discovery serves the whole list and, with a query, the changes to it.
+/// Path at which discovery serves the whole endpoint list or, with a query string, the changes to it.
 const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
 
 /// Why a call to discovery failed. The text goes to the log.
 #[derive(Debug, Error)]
 enum PollError {
-    /// There was no answer within the call's time limit.
+    /// No answer arrived within the call's time limit.
     #[error("silent")]
     Silent,
-    /// The connection failed, or the answer cannot be used.
+    /// The connection failed, or the HTTP response cannot be used.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The body is not an endpoint list.
+    /// The body of the answer is not an endpoint list.
     #[error("malformed list: {0}")]
     MalformedList(#[source] serde_json::Error),
 }
 
-/// What the calls to discovery need and change.
+/// The state of the discovery client.
 struct DiscoveryClient {
     position: ListPosition,
     upstream: Rc<Upstream>,
     classes: Rc<Classes>,
-    /// Set once discovery has answered for the first time.
+    /// Set to `true` by the first answer of discovery.
     answered: watch::Sender<bool>,
-    /// Where one gateway watches the list for the whole fleet: decides which one.
+    /// Decides which gateway watches the list if one gateway does so for all; `None` if each gateway watches for
+    /// itself.
     fleet: Option<Rc<EndpointWatchService>>,
     pacer: PollPacer,
 }
 
-/// A request to discovery.
+/// A poll request to discovery.
 struct PollRequest {
     /// The HTTP request, without a body.
     head: String,
@@ -58,15 +59,16 @@
         PollRequest { head, limits }
     }
 
-    /// Sends the request, and reads the answer within the time limit.
+    /// Sends the request and reads the answer within the time limit.
     async fn send(&self, connection: &mut HttpConnection) -> Result<Response, PollError> {
         let response = timeout(self.limits.silence, connection.exchange(&self.head)).await;
         Ok(response.map_err(|_| PollError::Silent)??)
     }
 }
 
-/// Keeps the endpoint list up to date for ever, from the address that `addresses` holds, and applies each change before
-/// the next call. A new address is called at once, for the whole list. `answered` is set once any address has answered.
+/// Polls the address that `addresses` holds for the endpoint list, and applies each change before the next call. A new
+/// address is called at once, for the whole list. Sets `answered` to `true` once any address has answered. Returns only
+/// when the sender of `addresses` is dropped.
 pub async fn watch(
     mut addresses: watch::Receiver<SocketAddr>,
     position: ListPosition,
@@ -102,7 +104,8 @@
 }
 
 impl DiscoveryClient {
-    /// How many gateways call the same discovery service; None where each has an agent of its own.
+    /// Returns the number of gateways that share one discovery service, or `None` if each gateway has an agent of its
+    /// own.
     fn shared_by(&self) -> Option<u32> {
         let settings = self.classes.settings();
         settings
@@ -110,7 +113,8 @@
             .then_some(settings.gateway_count)
     }
 
-    /// Calls until a call fails, and pauses before the next attempt.
+    /// Polls until a call fails or another gateway takes over the watch. After a failure, pauses before the next
+    /// attempt.
     async fn poll_and_pause(&mut self, address: SocketAddr) {
         let Err(error) = self.poll(address).await else {
             return;
@@ -123,7 +127,8 @@
         sleep(self.pacer.retry_delay(shared_by)).await;
     }
 
-    /// Calls until a call fails, or until another gateway watches the list for this one: the connection is closed then.
+    /// Polls until a call fails, or until another gateway watches the list for this one. The connection is closed in
+    /// both cases.
     async fn poll(&mut self, address: SocketAddr) -> Result<(), PollError> {
         let mut kind = self.wait_for_first_poll().await;
         let mut idle_connection = None;
@@ -144,14 +149,15 @@
                 return Ok(());
             };
             kind = next_kind;
-            // An agent that answers at once instead of waiting for changes would be called without end.
+            // Without this pause, an agent that answers at once instead of waiting for changes would be called in a
+            // busy loop.
             if !accepted && called_at.elapsed() < FIRST_RETRY_DELAY {
                 sleep(FIRST_RETRY_DELAY).await;
             }
         }
     }
 
-    /// Waits until this gateway is to call, and returns how.
+    /// Waits until this gateway has to poll, and returns the kind of poll.
     async fn wait_for_first_poll(&self) -> PollKind {
         match self.fleet.as_deref() {
             Some(fleet) => fleet.wait_for_poll(&self.position).await,
@@ -159,7 +165,7 @@
         }
     }
 
-    /// How to call again after a call that was answered; None where this gateway is to wait first.
+    /// Returns the kind of the next poll after an answer, or `None` if this gateway has to wait first.
     fn next_poll(&self) -> Option<PollKind> {
         let Some(fleet) = self.fleet.as_deref() else {
             return Some(PollKind::Watch);
@@ -168,7 +174,7 @@
         fleet.next_poll(&self.position)
     }
 
-    /// The request for the changes since the revision that is held, or for the whole list.
+    /// Returns the request for the changes since the current revision, or for the whole list.
     fn poll_request(&mut self, address: SocketAddr, kind: PollKind) -> PollRequest {
         let shared_by = self.shared_by();
         let limits = self.pacer.call_limits(shared_by);
@@ -184,7 +190,7 @@
         PollRequest::new(address, &path, limits)
     }
 
-    /// Applies the list in the body of an answer, if it is to be applied, and returns whether it was.
+    /// Parses the list in the body of an answer and applies it if it is accepted. Returns whether it was accepted.
     fn apply_response(&mut self, body: &[u8]) -> Result<bool, PollError> {
         let list: EndpointList = serde_json::from_slice(body).map_err(PollError::MalformedList)?;
         let accepted = self.position.accept(&list);
@@ -196,7 +202,7 @@
         Ok(accepted)
     }
 
-    /// Returns once another gateway watches the list for this one; never, where each gateway watches for itself, or
+    /// Returns once another gateway watches the list for this one. Never returns if each gateway watches for itself, or
     /// during a call that does not wait for changes.
     async fn superseded(&self, kind: PollKind) {
         match self.fleet.as_deref().filter(|_| kind == PollKind::Watch) {
--- a/src/net/discovery/http.rs
+++ b/src/net/discovery/http.rs
@@ -1,5 +1,5 @@
-//! The part of HTTP/1.1 that discovery needs: GET requests over one connection, and answers with a length, in chunks or
-//! up to the end of the connection.
+//! The subset of HTTP/1.1 that discovery needs: GET requests over one connection, and responses whose body has a
+//! length, is chunked or ends with the connection.
 
 use bytes::{Buf, BytesMut};
 use std::io;
@@ -10,11 +10,11 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Largest answer that is read, in bytes: far more than the list of a large fleet.
+/// Maximum size of an answer, in bytes: far more than the endpoint list of a large fleet.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Most headers that an answer may have.
+/// Maximum number of headers in an answer.
 const MAX_HEADERS: usize = 32;
-/// The line break behind the bytes of a chunk.
+/// The line break after the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
 /// Why no answer was received. The text goes to the log.
@@ -23,10 +23,10 @@
     /// The connection was not established in time.
     #[error("no connection in time")]
     ConnectTimeout,
-    /// The connection was refused.
+    /// Connecting failed, for example because the connection was refused.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The new connection could not be configured.
+    /// The socket option `TCP_NODELAY` could not be set on the new connection.
     #[error("{0}")]
     Configure(#[source] io::Error),
     /// The request could not be sent.
@@ -35,13 +35,13 @@
     /// The answer could not be read.
     #[error("cannot read: {0}")]
     Read(#[source] io::Error),
-    /// The connection ended before the answer did.
+    /// The connection was closed before the answer was complete.
     #[error("the connection was closed")]
     ConnectionClosed,
     /// The answer exceeds [`MAX_RESPONSE_BYTES`].
     #[error("an answer is too large")]
     ResponseTooLarge,
-    /// The answer is not what was asked for.
+    /// The answer cannot be used.
     #[error(transparent)]
     Response(#[from] ResponseError),
 }
@@ -49,13 +49,13 @@
 /// Why an answer cannot be used. The text goes to the log.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The head cannot be parsed.
+    /// The status line or the headers cannot be parsed.
     #[error("malformed answer: {0}")]
     MalformedHead(#[source] httparse::Error),
     /// The status is not 200.
     #[error("answer {0}")]
     Status(u16),
-    /// The length is no number, or exceeds [`MAX_RESPONSE_BYTES`].
+    /// The value of `Content-Length` is not a number, or exceeds [`MAX_RESPONSE_BYTES`].
     #[error("an answer with a malformed length")]
     MalformedLength,
     /// The size of a chunk cannot be parsed.
@@ -69,9 +69,9 @@
 /// A complete answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its body.
+    /// The body of the answer.
     pub body: Vec<u8>,
-    /// Its connection takes no further request.
+    /// Whether the connection cannot be used for another request.
     pub closes_connection: bool,
 }
 
@@ -79,36 +79,36 @@
 #[derive(Debug, PartialEq, Eq)]
 struct ParsedResponse {
     response: Response,
-    /// How many of the bytes it takes, with its head.
+    /// Number of bytes of the answer, including its head.
     length: usize,
 }
 
-/// The body of an answer, and where it ends in the bytes received so far.
+/// The body of an answer, and the position after it in the bytes received so far.
 struct ParsedBody {
     body: Vec<u8>,
     end: usize,
 }
 
-/// One chunk of a body, and where it ends in the bytes received so far.
+/// One chunk of a body, and the position after it in the bytes received so far.
 struct ParsedChunk<'a> {
-    /// Empty in the last chunk.
+    /// The data of the chunk; empty in the last chunk.
     data: &'a [u8],
     end: usize,
 }
 
-/// A connection that takes one request at a time.
+/// An HTTP connection that handles one request at a time.
 pub struct HttpConnection {
     stream: TcpStream,
-    /// What has been received and belongs to no answer yet.
+    /// Received bytes that have not been parsed as an answer yet.
     received: BytesMut,
 }
 
 impl HttpConnection {
-    /// Connects within this time.
+    /// Connects within the time limit `limit`.
     ///
     /// # Errors
     ///
-    /// If the connection is refused, or not established in time.
+    /// The connection is refused, is not established in time, or cannot be configured.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, HttpError> {
         let connecting = timeout(limit, TcpStream::connect(address)).await;
         let stream = connecting
@@ -121,11 +121,11 @@
         })
     }
 
-    /// Sends a whole request and reads its answer, without a time limit.
+    /// Sends a complete request and reads its answer, without a time limit.
     ///
     /// # Errors
     ///
-    /// If the connection fails, or if the answer cannot be used: the connection takes no further request then.
+    /// The connection fails, or the answer cannot be used. The connection must not be used again after an error.
     pub async fn exchange(&mut self, request: &str) -> Result<Response, HttpError> {
         self.stream
             .write_all(request.as_bytes())
@@ -134,7 +134,7 @@
         self.read_response().await
     }
 
-    /// Reads one answer, and keeps what was received behind it.
+    /// Reads one answer. Bytes received after it are kept for the next call.
     async fn read_response(&mut self) -> Result<Response, HttpError> {
         loop {
             if let Some(parsed) = parse_response(&self.received, false)? {
@@ -144,7 +144,7 @@
             if self.received.len() > MAX_RESPONSE_BYTES {
                 return Err(HttpError::ResponseTooLarge);
             }
-            // A reset is an error, and not the end of a body without a length.
+            // A connection reset is an error, unlike an orderly close, which ends a body without a length.
             let bytes_read = self
                 .stream
                 .read_buf(&mut self.received)
@@ -159,7 +159,8 @@
     }
 }
 
-/// Parses one answer; None while it is incomplete. An answer without a length is complete once its connection has ended.
+/// Parses one answer, or returns `None` while it is incomplete. An answer without a length is complete only once its
+/// connection has ended.
 fn parse_response(
     bytes: &[u8],
     connection_ended: bool,
@@ -184,7 +185,7 @@
     }))
 }
 
-/// Parses the body of an answer, which begins at this position; None while it is incomplete.
+/// Parses the body that begins at `start`, or returns `None` while it is incomplete.
 fn parse_body(
     head: &httparse::Response<'_, '_>,
     bytes: &[u8],
@@ -204,13 +205,13 @@
     Ok(None)
 }
 
-/// The body between these positions; None where not all of it has been received.
+/// Returns the body between these positions, or `None` while it has not been received completely.
 fn body_between(bytes: &[u8], start: usize, end: usize) -> Option<ParsedBody> {
     let body = bytes.get(start..end)?.to_vec();
     Some(ParsedBody { body, end })
 }
 
-/// The value of the first header of this name.
+/// Returns the value of the first header with this name.
 fn header<'a>(head: &'a httparse::Response<'_, '_>, name: &str) -> Option<&'a [u8]> {
     head.headers
         .iter()
@@ -218,12 +219,12 @@
         .map(|header| header.value)
 }
 
-/// Whether the first header of this name has this value; upper and lower case are alike.
+/// Returns whether the first header with this name has the expected value, ignoring case.
 fn has_value(head: &httparse::Response<'_, '_>, name: &str, expected: &[u8]) -> bool {
     header(head, name).is_some_and(|value| value.eq_ignore_ascii_case(expected))
 }
 
-/// Parses the length of a body.
+/// Parses the value of a `Content-Length` header.
 fn parse_length(value: &[u8]) -> Result<usize, ResponseError> {
     std::str::from_utf8(value)
         .ok()
@@ -232,7 +233,7 @@
         .ok_or(ResponseError::MalformedLength)
 }
 
-/// Parses a body in chunks that begins at this position; None while it is incomplete.
+/// Parses the chunked body that begins at `start`, or returns `None` while it is incomplete.
 fn parse_chunks(bytes: &[u8], start: usize) -> Result<Option<ParsedBody>, ResponseError> {
     let mut body = Vec::new();
     let mut position = start;
@@ -251,7 +252,7 @@
     }
 }
 
-/// Parses the chunk that begins at this position; None while it is incomplete.
+/// Parses the chunk that begins at `start`, or returns `None` while it is incomplete.
 fn parse_chunk(bytes: &[u8], start: usize) -> Result<Option<ParsedChunk<'_>>, ResponseError> {
     let parsed =
         httparse::parse_chunk_size(&bytes[start..]).map_err(|_| ResponseError::MalformedChunk)?;
