--- a/src/net/admin/console.rs
+++ b/src/net/admin/console.rs
@@ -1,6 +1,7 @@
-//! The operators' console: a second address, where each connection carries one line and gets one line.
+//! The operators' console, which listens on an address of its own. Each connection sends one line and receives one
+//! line.
 //!
-//! This module owns the connections; `console_call` has the calls and their answers.
+//! This module handles the connections; `console_call` has the calls and their answers.
 
 use crate::net::admin::console_call::{execute, format_answer, CallError, ConsoleCall};
 use crate::net::cluster::drains::DrainService;
@@ -18,33 +19,34 @@
 use tokio::task::{spawn_local, AbortHandle};
 use tokio::time::{sleep, timeout};
 
-/// Connections at a time; one more closes the oldest. Connections that send nothing must neither use up the descriptors
-/// nor keep out those that call.
+/// Maximum number of open connections; a further one closes the oldest. Connections that send nothing must neither use
+/// up the file descriptors nor block other callers.
 const MAX_CONNECTIONS: usize = 16;
-/// A connection has this long for its call, its answer and its end.
+/// How long a connection may take in total, from its start to its close.
 const CALL_TIMEOUT: Duration = Duration::from_secs(3);
-/// A caller has this long to close its side after the answer.
+/// How long the gateway waits for a caller to close its side after the answer.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest line that is read, in bytes: the longest call with the name of a host fits in.
+/// Maximum length of a line, in bytes: enough for the longest call with a host's name.
 const MAX_LINE_LENGTH: usize = 128;
-/// Pause after a failed accept, as when the system has no descriptor left: without it the task would spin.
+/// Pause after a failed accept, for example because the system has no file descriptors left. Retrying without a pause
+/// would be a busy loop.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// What operators may inspect and change.
+/// The state that operators can inspect and change through the console.
 pub struct Console {
-    /// Whether clients are served.
+    /// Whether clients are served or disconnected.
     pub serving_state: Rc<ServingState>,
-    /// Cluster membership, where it is on.
+    /// Cluster membership, if it is enabled.
     pub membership: Option<Rc<MembershipService>>,
-    /// The leases of this gateway, where they are on.
+    /// The leases of this gateway, if leases are enabled.
     pub leases: Option<Rc<LeaseService>>,
-    /// Drains of database hosts, where leases are on.
+    /// Drains of database hosts, if leases are enabled.
     pub drains: Option<Rc<DrainService>>,
-    /// Site failover, where it is on.
+    /// Site failover, if it is enabled.
     pub site_failover: Option<Rc<SiteFailoverService>>,
 }
 
-/// Accepts and answers calls; never returns.
+/// Accepts connections and answers their calls; never returns.
 pub async fn serve(listener: TcpListener, console: Rc<Console>) {
     let mut connections: VecDeque<AbortHandle> = VecDeque::new();
     loop {
@@ -62,7 +64,7 @@
     }
 }
 
-/// Ends the oldest connections until there is room for one more.
+/// Closes the oldest connections until one more fits into the limit.
 fn make_room(connections: &mut VecDeque<AbortHandle>) {
     connections.retain(|connection| !connection.is_finished());
     while connections.len() >= MAX_CONNECTIONS {
@@ -73,7 +75,7 @@
 }
 
 async fn serve_connection(stream: TcpStream, console: Rc<Console>) {
-    // A caller that is too slow or breaks off gets no answer; there is nobody to report that to.
+    // A caller that is too slow or disconnects gets no answer, and there is no one to report that to.
     let _ = timeout(CALL_TIMEOUT, answer_call(stream, &console)).await;
 }
 
@@ -93,11 +95,11 @@
     Ok(())
 }
 
-/// What came of reading a line.
+/// The result of reading a line.
 enum Line {
     /// The line without its newline.
     Complete(Vec<u8>),
-    /// No newline within [`MAX_LINE_LENGTH`] bytes.
+    /// There was no newline within [`MAX_LINE_LENGTH`] bytes.
     TooLong,
     /// The caller closed its side before the newline.
     Ended,
@@ -120,11 +122,11 @@
     }
 }
 
-/// Reads until the caller closes its side. Closing a connection with bytes unread resets it, and the caller would lose
-/// the answer.
+/// Reads and discards input until the caller closes its side. Closing a connection with unread bytes resets it, and the
+/// caller could lose the answer.
 async fn discard_rest(stream: &mut TcpStream) {
     let mut discarded = [0; MAX_LINE_LENGTH];
     let rest = async { while matches!(stream.read(&mut discarded).await, Ok(read) if read > 0) {} };
-    // After the timeout the connection is closed all the same.
+    // On a timeout the connection is closed too.
     let _ = timeout(CLOSE_TIMEOUT, rest).await;
 }
--- a/src/net/admin/console_call.rs
+++ b/src/net/admin/console_call.rs
@@ -1,4 +1,4 @@
-//! The console's calls and their answers. All texts are an interface to operators' scripts.
+//! The console's calls and their answers. Operators' scripts depend on all of these texts.
 
 use crate::net::admin::console::Console;
 use crate::net::cluster::drains::DrainService;
@@ -8,12 +8,12 @@
 use std::fmt;
 use thiserror::Error;
 
-/// One call.
+/// A call to the console.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ConsoleCall {
     /// `readyz`: whether new clients are served.
     Readiness,
-    /// `evacuate`: disconnects clients.
+    /// `evacuate`: disconnects clients until `activate`.
     Evacuate,
     /// `activate`: serves clients again.
     Activate,
@@ -21,16 +21,16 @@
     Members,
     /// `duties`: the leases that this gateway holds.
     Leases,
-    /// `plan`: the site failover plan that is in force.
+    /// `plan`: the active site failover plan.
     FailoverPlan,
-    /// `drains`: the database hosts that are drained by the console.
+    /// `drains`: the database hosts that operators have drained through the console.
     Drains,
     /// `drain HOST`: takes a database host out of service at all gateways.
     Drain {
         /// The host's name in the endpoint list.
         host: String,
     },
-    /// `undrain HOST`: puts it back.
+    /// `undrain HOST`: returns a database host to service at all gateways.
     Undrain {
         /// The host's name in the endpoint list.
         host: String,
@@ -46,53 +46,53 @@
     Evacuated,
     /// Clients are served again.
     Activated,
-    /// The state of a cluster service.
+    /// The status line of a cluster service.
     Status(String),
-    /// What a drain or its end has achieved.
+    /// The result of `drain` or `undrain`.
     DrainCommand(String),
 }
 
-/// Why a call has failed.
+/// Why a call failed.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub enum CallError {
-    /// The gateway is not ready yet.
+    /// The gateway is still starting.
     #[error("starting")]
     Starting,
     /// Clients are disconnected until `activate`.
     #[error("drained")]
     Drained,
-    /// The process shuts down.
+    /// The process is shutting down.
     #[error("stopping")]
     Stopping,
-    /// Membership is off.
+    /// Cluster membership is disabled.
     #[error("membership is off")]
     MembershipOff,
-    /// Leases are off.
+    /// Leases are disabled.
     #[error("takeover is off")]
     LeasesOff,
-    /// Site failover is off.
+    /// Site failover is disabled.
     #[error("site plans are off")]
     SiteFailoverOff,
-    /// The drain command is refused or has not reached a majority.
+    /// The drain command was refused, or did not reach a majority of the gateways.
     #[error("{0}")]
     DrainCommand(String),
-    /// The line is none of the calls.
+    /// The line is not a known call.
     #[error(
         "unknown call: readyz, evacuate, activate, members, duties, plan, drains, \
          drain HOST or undrain HOST"
     )]
     Unknown,
-    /// The line exceeds what is read.
+    /// The line is longer than the console reads.
     #[error("the line is too long")]
     LineTooLong,
 }
 
 impl ConsoleCall {
-    /// Parses a line without its newline; a carriage return at its end is ignored.
+    /// Parses a line without its newline. A carriage return at the end is ignored.
     ///
     /// # Errors
     ///
-    /// The line is none of the calls.
+    /// The line is not a known call.
     pub fn parse(line: &[u8]) -> Result<Self, CallError> {
         let line = std::str::from_utf8(line).map_err(|_| CallError::Unknown)?;
         let line = line.strip_suffix('\r').unwrap_or(line);
@@ -124,7 +124,7 @@
     }
 }
 
-/// The line that the caller gets, with its newline.
+/// Formats the line that is sent to the caller, including its newline.
 pub fn format_answer(answer: &Result<ConsoleAnswer, CallError>) -> String {
     match answer {
         Ok(answer) => format!("+OK {answer}\n"),
@@ -132,11 +132,11 @@
     }
 }
 
-/// Carries out a call.
+/// Executes a call.
 ///
 /// # Errors
 ///
-/// The gateway is not in a state for the call, or the service that it is about is off.
+/// The gateway is not in a state that allows the call, the service in question is disabled, or a drain command failed.
 pub async fn execute(call: ConsoleCall, console: &Console) -> Result<ConsoleAnswer, CallError> {
     match call {
         ConsoleCall::Readiness => readiness(console),
--- a/src/net/admin/counter_report.rs
+++ b/src/net/admin/counter_report.rs
@@ -1,20 +1,21 @@
-//! The counters on standard error, for SIGUSR1 and for the end of the process.
+//! Prints the counters to standard error, on SIGUSR1 and at the end of the process.
 
 use crate::net::cluster::membership::MembershipService;
 use crate::net::metrics::Metrics;
 use std::rc::Rc;
 
-/// What is printed: the counters, and this gateway's view of the others.
+/// The data for the report: the counters, and this gateway's view of the other gateways.
 #[derive(Clone)]
 pub struct CounterReport {
-    /// The counters.
+    /// The counters of the process.
     pub metrics: Rc<Metrics>,
-    /// Cluster membership, where it is on.
+    /// Cluster membership, if it is enabled.
     pub membership: Option<Rc<MembershipService>>,
 }
 
 impl CounterReport {
-    /// Prints one line of counters and, with membership, one line of members. The limit on log lines does not apply.
+    /// Prints one line of counters and, if membership is enabled, one line of members. The rate limit for log lines
+    /// does not apply.
     pub fn print(&self) {
         eprintln!("irisrouter: {}", self.metrics);
         if let Some(membership) = &self.membership {
--- a/src/net/admin/mod.rs
+++ b/src/net/admin/mod.rs
@@ -1,4 +1,4 @@
-//! Operators: the console and the printed counters.
+//! Interfaces for operators: the console and the counter report.
 
 pub mod console;
 mod console_call;
--- a/src/net/buffers.rs
+++ b/src/net/buffers.rs
@@ -1,41 +1,42 @@
-//! A pool of buffers of one size, with a budget for messages that need more.
+//! A pool of buffers of equal size, with a shared budget for messages that need more than one buffer's size.
 
 use bytes::BytesMut;
 use std::cell::{Cell, RefCell};
 use std::ops::{Deref, DerefMut};
 use std::rc::Rc;
 
-/// Size of a buffer in bytes: most statements and rows fit.
+/// Size of a buffer in bytes. Most statements and rows fit into one.
 pub const BUFFER_SIZE: usize = 8 * 1024;
-/// Largest number of free buffers that are kept for reuse.
+/// Maximum number of free buffers that are kept for reuse.
 const MAX_FREE_BUFFERS: usize = 64;
 
-/// Input that clients send ahead of their answers may use one part in so many of the budget for large messages. The rest
-/// is for the messages that are being processed: without it no request would end, and nothing would be freed.
+/// Input that is read ahead may use only the budget for large messages divided by this. The rest is for the messages
+/// that are being processed: if read-ahead input used up the budget, no request could finish and no memory would be
+/// freed.
 const READ_AHEAD_DIVISOR: usize = 2;
 
-/// A pool of buffers, shared by all connections; each buffer holds a reference to it, to return on drop. What single
-/// messages need beyond a buffer's size comes from a budget that they share.
+/// A pool of buffers that all connections share. Each buffer holds a reference to the pool and returns to it when it is
+/// dropped. The memory that messages need beyond the size of a buffer comes from a shared budget.
 pub struct Pool {
     free: RefCell<Vec<BytesMut>>,
-    /// Bytes beyond the size of a buffer that are in use in this process.
+    /// Number of bytes beyond the size of a buffer that are in use in this process.
     extra_bytes: Cell<usize>,
-    /// Most bytes beyond the size of a buffer, here and in other processes of this gateway together.
+    /// Maximum number of bytes beyond the size of a buffer, over all processes of this gateway.
     budget: usize,
-    /// Bytes beyond the size of a buffer that another process of this gateway uses.
+    /// Number of bytes beyond the size of a buffer that another process of this gateway uses.
     other_process_extra_bytes: Cell<usize>,
 }
 
 /// A buffer that returns to its pool when it is dropped.
 pub struct Buffer {
     bytes: BytesMut,
-    /// Bytes beyond [`BUFFER_SIZE`] that this buffer has taken from the budget.
+    /// Number of bytes beyond [`BUFFER_SIZE`] that this buffer has taken from the budget.
     extra_bytes: usize,
     pool: Rc<Pool>,
 }
 
 impl Pool {
-    /// A pool whose buffers together may hold `budget` bytes beyond their size.
+    /// Creates a pool whose buffers together may hold `budget` bytes beyond their size.
     pub fn new(budget: usize) -> Rc<Self> {
         Rc::new(Pool {
             free: RefCell::default(),
@@ -45,13 +46,13 @@
         })
     }
 
-    /// Bytes beyond the size of a buffer that are in use in this process.
+    /// Returns the number of bytes beyond the size of a buffer that are in use in this process.
     pub fn extra_bytes(&self) -> usize {
         self.extra_bytes.get()
     }
 
-    /// Sets the bytes beyond the size of a buffer that another process of this gateway uses: they count towards the
-    /// budget of this one.
+    /// Sets the number of bytes beyond the size of a buffer that another process of this gateway uses. They count
+    /// towards the budget of this process.
     pub fn set_other_process_extra_bytes(&self, bytes: usize) {
         self.other_process_extra_bytes.set(bytes);
     }
@@ -72,21 +73,22 @@
 }
 
 impl Buffer {
-    /// Makes room for `additional` bytes, and returns whether the budget for large messages allows it. Without a budget, a
-    /// thousand connections with large messages would exceed the limit on memory.
+    /// Reserves space for `additional` bytes, and returns whether the budget for large messages allows it. Without a
+    /// budget, a thousand connections with large messages would exceed the memory limit.
     #[must_use]
     pub fn try_reserve(&mut self, additional: usize) -> bool {
         self.try_reserve_within(additional, self.pool.budget)
     }
 
-    /// Makes room for `additional` bytes of input that is not processed yet, and returns whether the part of the budget
-    /// that is for such input allows it.
+    /// Reserves space for `additional` bytes of input that is read ahead, and returns whether the part of the budget
+    /// for such input allows it.
     #[must_use]
     pub fn try_reserve_ahead(&mut self, additional: usize) -> bool {
         self.try_reserve_within(additional, self.pool.budget / READ_AHEAD_DIVISOR)
     }
 
-    /// Makes room for `additional` bytes, if all large messages together stay within `budget`.
+    /// Reserves space for `additional` bytes if all large messages together stay within `budget`, and returns whether
+    /// they do.
     fn try_reserve_within(&mut self, additional: usize, budget: usize) -> bool {
         let needed = (self.bytes.len() + additional).saturating_sub(BUFFER_SIZE);
         if needed > self.extra_bytes {
@@ -101,7 +103,7 @@
         true
     }
 
-    /// Appends bytes if there is room for them, and returns whether there was.
+    /// Appends bytes if the budget allows it, and returns whether it did.
     #[must_use]
     pub fn append(&mut self, bytes: &[u8]) -> bool {
         let fits = self.try_reserve(bytes.len());
@@ -130,7 +132,7 @@
         let extra_bytes = self.pool.extra_bytes.get() - self.extra_bytes;
         self.pool.extra_bytes.set(extra_bytes);
         let mut free = self.pool.free.borrow_mut();
-        // The memory of a buffer that has grown is freed, so that all free buffers have the same size.
+        // A buffer that has grown is freed instead of reused, so that all free buffers have the same size.
         if self.extra_bytes == 0 && free.len() < MAX_FREE_BUFFERS {
             let mut bytes = std::mem::take(&mut self.bytes);
             bytes.clear();
--- a/tests/unit/buffers.rs
+++ b/tests/unit/buffers.rs
@@ -1,4 +1,4 @@
-//! Buffers: reuse, and the budget that large ones share.
+//! Reuse of buffers, and the budget that large ones share.
 
 use super::{Pool, BUFFER_SIZE};
 
