--- a/src/net/buffers.rs
+++ b/src/net/buffers.rs
@@ -83,7 +83,7 @@
     /// Reserves space for `additional` bytes of input that is read ahead, and returns whether the part of the budget
     /// for such input allows it.
     #[must_use]
-    pub fn try_reserve_ahead(&mut self, additional: usize) -> bool {
+    pub fn try_reserve_read_ahead(&mut self, additional: usize) -> bool {
         self.try_reserve_within(additional, self.pool.budget / READ_AHEAD_DIVISOR)
     }
 
--- a/src/net/downstream/answer_writer.rs
+++ b/src/net/downstream/answer_writer.rs
@@ -18,9 +18,9 @@
 /// reconnect at once would take processing time from the clients that are being served.
 const RECONNECT_DELAY: TimeDelta = TimeDelta::from_millis(250);
 /// A write that takes longer than this counts as an interruption of reading. Most writes take microseconds.
-const LONG_WRITE: Duration = Duration::from_millis(20);
+const LONG_WRITE_THRESHOLD: Duration = Duration::from_millis(20);
 /// Number of bytes to reserve after a row for the ReadyForQuery message, which takes 6.
-const READY_FOR_QUERY_ROOM: usize = 16;
+const READY_FOR_QUERY_RESERVE: usize = 16;
 
 impl ClientConnection {
     /// Writes all of these bytes; does nothing if there are none. After a long write, reads the input that the client
@@ -33,19 +33,19 @@
         timeout(WRITE_TIMEOUT, write_all(&mut self.stream, bytes))
             .await
             .map_err(|_| ConnectionEnd::Disconnected)??;
-        if started.elapsed() > LONG_WRITE {
-            self.read_behind_long_write(started)?;
+        if started.elapsed() > LONG_WRITE_THRESHOLD {
+            self.read_after_long_write(started)?;
         }
         Ok(())
     }
 
     /// Reserves space for ReadyForQuery after the last part of an answer. If no memory is available for that, writes
     /// the part at once and returns an empty buffer.
-    pub(super) async fn with_room_for_ready(
+    pub(super) async fn reserve_ready_for_query(
         &mut self,
         mut answer: Buffer,
     ) -> Result<Buffer, ConnectionEnd> {
-        if answer.try_reserve(READY_FOR_QUERY_ROOM) {
+        if answer.try_reserve(READY_FOR_QUERY_RESERVE) {
             return Ok(answer);
         }
         self.write(&answer).await?;
@@ -64,8 +64,8 @@
         loop {
             let received = self.wait_while_connected(rest.recv()).await;
             match received? {
-                Some(StreamChunk::Data(piece)) => self.write(&piece).await?,
-                Some(StreamChunk::Last(end)) => return self.with_room_for_ready(end).await,
+                Some(StreamChunk::Data(chunk)) => self.write(&chunk).await?,
+                Some(StreamChunk::Last(chunk)) => return self.reserve_ready_for_query(chunk).await,
                 None => return Err(ConnectionEnd::Truncated),
             }
         }
--- a/src/net/downstream/cancel.rs
+++ b/src/net/downstream/cancel.rs
@@ -19,7 +19,7 @@
 
 /// The registration of one connection's key, removed when this is dropped.
 pub struct CancelRegistration {
-    cancels: Rc<CancelRegistry>,
+    registry: Rc<CancelRegistry>,
     key: CancelKey,
 }
 
@@ -43,7 +43,7 @@
         }
         self.by_key.borrow_mut().insert(key, None);
         Some(CancelRegistration {
-            cancels: Rc::clone(self),
+            registry: Rc::clone(self),
             key,
         })
     }
@@ -64,12 +64,12 @@
     }
 
     /// Makes the connection's current query cancellable until the result is dropped.
-    pub fn query(&self) -> CancellableQuery<'_> {
-        let (cancel, cancelled) = oneshot::channel();
-        self.cancels
+    pub fn cancellable_query(&self) -> CancellableQuery<'_> {
+        let (sender, cancelled) = oneshot::channel();
+        self.registry
             .by_key
             .borrow_mut()
-            .insert(self.key, Some(cancel));
+            .insert(self.key, Some(sender));
         CancellableQuery {
             registration: self,
             cancelled,
@@ -88,14 +88,14 @@
 
 impl Drop for CancellableQuery<'_> {
     fn drop(&mut self) {
-        let CancelRegistration { cancels, key } = self.registration;
-        cancels.by_key.borrow_mut().insert(*key, None);
+        let CancelRegistration { registry, key } = self.registration;
+        registry.by_key.borrow_mut().insert(*key, None);
     }
 }
 
 impl Drop for CancelRegistration {
     fn drop(&mut self) {
-        self.cancels.by_key.borrow_mut().remove(&self.key);
+        self.registry.by_key.borrow_mut().remove(&self.key);
     }
 }
 
--- a/src/net/downstream/client_input.rs
+++ b/src/net/downstream/client_input.rs
@@ -7,7 +7,7 @@
 
 use crate::net::buffers::BUFFER_SIZE;
 use crate::net::downstream::connection::{ClientConnection, ConnectionEnd};
-use crate::net::downstream::connection_limit::{EvictableWait, QuietKind};
+use crate::net::downstream::connection_limit::{EvictableWait, WaitKind};
 use crate::net::downstream::input_buffer::ReadPurpose;
 use crate::net::metrics::increment;
 use crate::net::read_now;
@@ -36,9 +36,9 @@
 /// Maximum number of buffers of input that are read and dropped in one step.
 const MAX_DROPPING_READS: usize = 8;
 /// Maximum number of reads after a long write, for the input that arrived during the write.
-const MAX_RESUMING_READS: usize = 256;
+const MAX_READS_AFTER_LONG_WRITE: usize = 256;
 /// Maximum number of bytes in the last read before a connection is closed: enough to detect that input has arrived.
-const LAST_READ_BYTES: usize = 4096;
+const FINAL_READ_SIZE: usize = 4096;
 
 /// The event that ends a wait for input.
 enum InputEvent {
@@ -58,29 +58,29 @@
     /// Bytes were read.
     Read,
     /// No bytes were available.
-    Nothing,
+    NothingAvailable,
     /// No memory is available for the rest of the message.
-    NoRoom,
+    NoMemory,
 }
 
 /// How much of the next message has arrived at the beginning of a wait.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Received {
-    Nothing,
-    PartOfMessage,
+enum MessageProgress {
+    NotStarted,
+    Partial,
 }
 
 /// A wait for input from the client.
 #[derive(Clone, Copy)]
 struct InputWait {
-    kind: QuietKind,
-    received: Received,
+    kind: WaitKind,
+    message_progress: MessageProgress,
 }
 
 impl InputWait {
     /// Returns whether the connection is between two messages.
     fn is_idle(self) -> bool {
-        self.received == Received::Nothing && self.kind == QuietKind::Idle
+        self.message_progress == MessageProgress::NotStarted && self.kind == WaitKind::Idle
     }
 }
 
@@ -88,16 +88,19 @@
     /// Waits for more input and reads it. The connection may be drained or evicted while it waits, and closed then.
     pub(super) async fn read_more(
         &mut self,
-        kind: QuietKind,
+        kind: WaitKind,
     ) -> Result<ReadProgress, ConnectionEnd> {
         // An idle connection holds no buffer, so that the pool can reuse it.
         self.input.release_if_empty();
-        let received = if self.input.is_empty() {
-            Received::Nothing
+        let message_progress = if self.input.is_empty() {
+            MessageProgress::NotStarted
         } else {
-            Received::PartOfMessage
+            MessageProgress::Partial
+        };
+        let wait = InputWait {
+            kind,
+            message_progress,
         };
-        let wait = InputWait { kind, received };
         if !self.wait_for_input(wait).await? {
             // Input that arrived just before the connection was to be closed has been read already.
             return Ok(ReadProgress::Read);
@@ -105,7 +108,7 @@
         let was_idle = wait.is_idle();
         let progress = self.read_available(ReadPurpose::NextMessage)?;
         if was_idle && progress == ReadProgress::Read {
-            self.message_started = self.last_input;
+            self.message_started_at = self.last_input_at;
         }
         Ok(progress)
     }
@@ -119,7 +122,7 @@
             InputEvent::Draining | InputEvent::Evicted
                 if wait.is_idle() && self.read_before_close()? =>
             {
-                self.message_started = self.last_input;
+                self.message_started_at = self.last_input_at;
                 Ok(false)
             }
             InputEvent::Draining => Err(ConnectionEnd::Closed),
@@ -137,10 +140,10 @@
     }
 
     /// Waits for more input of a dropped message, then reads and drops up to `missing` bytes.
-    pub(super) async fn read_to_drop(&mut self, missing: usize) -> Result<(), ConnectionEnd> {
+    pub(super) async fn receive_and_drop(&mut self, missing: usize) -> Result<(), ConnectionEnd> {
         let wait = InputWait {
-            kind: QuietKind::Idle,
-            received: Received::PartOfMessage,
+            kind: WaitKind::Idle,
+            message_progress: MessageProgress::Partial,
         };
         if self.wait_for_input(wait).await? {
             self.read_and_drop(missing)?;
@@ -149,18 +152,18 @@
     }
 
     /// Reads and drops the available input, limited to `max_bytes` and to [`MAX_DROPPING_READS`] buffers.
-    fn read_and_drop(&mut self, most: usize) -> Result<ReadProgress, ConnectionEnd> {
+    fn read_and_drop(&mut self, max_bytes: usize) -> Result<ReadProgress, ConnectionEnd> {
         let mut scratch = self.listener.pool.acquire();
-        let mut remaining = most;
+        let mut remaining = max_bytes;
         for _ in 0..MAX_DROPPING_READS {
             scratch.clear();
             let mut limited = (&mut *scratch).limit(remaining.min(BUFFER_SIZE));
             let result = self.stream.try_read_buf(&mut limited);
-            let Some(length) = self.read_length(result)? else {
-                return Ok(ReadProgress::Nothing);
+            let Some(length) = self.handle_read_result(result)? else {
+                return Ok(ReadProgress::NothingAvailable);
             };
             self.input.drop_bytes(&scratch);
-            self.last_input = Instant::now();
+            self.last_input_at = Instant::now();
             remaining -= length;
             if remaining == 0 {
                 break;
@@ -170,7 +173,10 @@
     }
 
     /// Returns the number of bytes that were read, or `None` if no bytes were available.
-    fn read_length(&mut self, result: io::Result<usize>) -> Result<Option<usize>, ConnectionEnd> {
+    fn handle_read_result(
+        &mut self,
+        result: io::Result<usize>,
+    ) -> Result<Option<usize>, ConnectionEnd> {
         match result {
             Ok(0) => Err(ConnectionEnd::Disconnected),
             Ok(length) => Ok(Some(length)),
@@ -186,21 +192,21 @@
     /// Waits until the socket is readable, or until the connection has to be closed.
     async fn next_input_event(&self, wait: InputWait) -> Result<InputEvent, ConnectionEnd> {
         let idle = wait.is_idle();
-        let nothing_received = wait.received == Received::Nothing;
+        let nothing_received = wait.message_progress == MessageProgress::NotStarted;
         let deadline = self.input_deadline();
-        let drained = drained(
+        let drained = wait_for_idle_drain(
             self.listener.serving_state.subscribe(),
-            self.message_started + DRAIN_IDLE_TIMEOUT,
+            self.message_started_at + DRAIN_IDLE_TIMEOUT,
         );
         let kind = if self.permit.over_limit {
-            QuietKind::Leaving
+            WaitKind::Closing
         } else {
             wait.kind
         };
         // After startup, a partial message protects its connection from eviction until its deadline; an idle connection
         // may be evicted.
         let mut evictable =
-            (nothing_received || kind != QuietKind::Idle).then(|| self.permit.wait_quietly(kind));
+            (nothing_received || kind != WaitKind::Idle).then(|| self.permit.allow_eviction(kind));
         tokio::select! {
             biased;
             readable = self.stream.readable() => {
@@ -208,7 +214,7 @@
                 Ok(InputEvent::Readable)
             }
             () = drained, if nothing_received => Ok(InputEvent::Draining),
-            () = evicted(&mut evictable) => Ok(InputEvent::Evicted),
+            () = wait_for_eviction(&mut evictable) => Ok(InputEvent::Evicted),
             () = sleep_until(deadline), if !idle => Ok(InputEvent::TimedOut),
         }
     }
@@ -216,8 +222,8 @@
     /// Returns the time at which an incomplete message times out if no more bytes of it arrive.
     fn input_deadline(&self) -> Instant {
         let time_for_size = Duration::from_secs_f64(self.input.len() as f64 / MIN_INPUT_RATE);
-        let whole_by = self.message_started + MESSAGE_TIMEOUT + time_for_size;
-        whole_by.min(self.last_input + SILENCE_TIMEOUT)
+        let complete_by = self.message_started_at + MESSAGE_TIMEOUT + time_for_size;
+        complete_by.min(self.last_input_at + SILENCE_TIMEOUT)
     }
 
     /// Reads the available input without waiting: the runtime may report a socket as readable when it is not, and a
@@ -225,32 +231,32 @@
     fn read_available(&mut self, purpose: ReadPurpose) -> Result<ReadProgress, ConnectionEnd> {
         // A client that never stops sending must not keep its connection open until the process is killed: once the
         // shutdown has ended reading, only the rest of a partial message is read.
-        let most = if self.listener.request_context.reading_is_over() {
+        let max_bytes = if self.listener.request_context.reading_is_over() {
             self.input.missing_bytes()
         } else {
             usize::MAX
         };
         if self.input.is_dropping() {
-            return self.read_and_drop(most);
+            return self.read_and_drop(max_bytes);
         }
         let Some(space) = self.input.space_for(purpose) else {
             return match purpose {
-                ReadPurpose::NextMessage => Ok(ReadProgress::NoRoom),
+                ReadPurpose::NextMessage => Ok(ReadProgress::NoMemory),
                 ReadPurpose::ReadAhead => {
                     self.input.start_dropping();
-                    self.read_and_drop(most)
+                    self.read_and_drop(max_bytes)
                 }
             };
         };
-        let result = self.stream.try_read_buf(&mut space.limit(most));
-        let Some(length) = self.read_length(result)? else {
-            return Ok(ReadProgress::Nothing);
+        let result = self.stream.try_read_buf(&mut space.limit(max_bytes));
+        let Some(length) = self.handle_read_result(result)? else {
+            return Ok(ReadProgress::NothingAvailable);
         };
         let now = Instant::now();
         // Input that is read after an interruption may have arrived at the beginning of it.
         let arrived_at = self.reading_paused_since.unwrap_or(now);
         self.input.record_read(length, arrived_at);
-        self.last_input = now;
+        self.last_input_at = now;
         Ok(ReadProgress::Read)
     }
 
@@ -258,15 +264,15 @@
     /// whether there were any. May be called only without unprocessed input, because the buffer then always has space
     /// for a read of this size.
     pub(super) fn read_before_close(&mut self) -> Result<bool, ConnectionEnd> {
-        let mut bytes = [0; LAST_READ_BYTES];
+        let mut bytes = [0; FINAL_READ_SIZE];
         match read_now(&self.stream, &mut bytes) {
             Ok(0) => Err(ConnectionEnd::Disconnected),
             Ok(length) => {
                 let space = self.input.space_for(ReadPurpose::NextMessage);
                 let space = space.ok_or(ConnectionEnd::Disconnected)?;
                 space.extend_from_slice(&bytes[..length]);
-                self.last_input = Instant::now();
-                self.input.record_read(length, self.last_input);
+                self.last_input_at = Instant::now();
+                self.input.record_read(length, self.last_input_at);
                 Ok(true)
             }
             Err(error) if is_nothing_to_read(&error) => Ok(false),
@@ -276,29 +282,29 @@
 
     /// Reads the input that arrived during a long write, which began at `since`, and records that time as its arrival.
     /// A request in this input may be given less time than its timeout, but never more.
-    pub(super) fn read_behind_long_write(&mut self, since: Instant) -> Result<(), ConnectionEnd> {
+    pub(super) fn read_after_long_write(&mut self, since: Instant) -> Result<(), ConnectionEnd> {
         increment(&self.metrics().connections.input_paused);
         self.reading_paused_since = Some(since);
         let mut reads = 0;
-        while self.reading_paused_since.is_some() && reads < MAX_RESUMING_READS {
+        while self.reading_paused_since.is_some() && reads < MAX_READS_AFTER_LONG_WRITE {
             self.read_available(ReadPurpose::ReadAhead)?;
             reads += 1;
         }
         Ok(())
     }
 
-    /// Awaits `wait` and returns its value, or returns an error as soon as the client disconnects. Input that arrives
-    /// meanwhile is read ahead as far as memory allows and dropped beyond that.
+    /// Awaits `operation` and returns its value, or returns an error as soon as the client disconnects. Input that
+    /// arrives meanwhile is read ahead as far as memory allows and dropped beyond that.
     pub(super) async fn wait_while_connected<T>(
         &mut self,
-        wait: impl Future<Output = T>,
+        operation: impl Future<Output = T>,
     ) -> Result<T, ConnectionEnd> {
-        let mut wait = std::pin::pin!(wait);
+        let mut operation = std::pin::pin!(operation);
         loop {
             tokio::select! {
                 biased;
-                value = &mut wait => return Ok(value),
-                readable = self.next_readable() => {
+                value = &mut operation => return Ok(value),
+                readable = self.wait_until_readable() => {
                     readable?;
                     self.read_available(ReadPurpose::ReadAhead)?;
                 }
@@ -307,8 +313,8 @@
     }
 
     /// Waits until the socket is readable. For a client that floods, pauses first to limit its rate.
-    async fn next_readable(&self) -> io::Result<()> {
-        if self.input.is_flood() {
+    async fn wait_until_readable(&self) -> io::Result<()> {
+        if self.input.is_flooding() {
             sleep(FLOOD_READ_INTERVAL).await;
         }
         self.stream.readable().await
@@ -324,7 +330,7 @@
 }
 
 /// Returns once clients are being disconnected and `idle_until` has passed.
-async fn drained(mut mode: watch::Receiver<ServingMode>, idle_until: Instant) {
+async fn wait_for_idle_drain(mut mode: watch::Receiver<ServingMode>, idle_until: Instant) {
     loop {
         if mode
             .wait_for(|mode| mode.disconnects_clients())
@@ -342,7 +348,7 @@
 
 /// Returns once the connection is evicted. Never returns if `wait` is `None`, because the connection may not be evicted
 /// then.
-async fn evicted(wait: &mut Option<EvictableWait<'_>>) {
+async fn wait_for_eviction(wait: &mut Option<EvictableWait<'_>>) {
     match wait {
         Some(wait) => wait.evicted().await,
         None => std::future::pending().await,
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -4,7 +4,7 @@
 use crate::net::buffers::Buffer;
 use crate::net::downstream::cancel::CancelRegistration;
 use crate::net::downstream::client_input::ReadProgress;
-use crate::net::downstream::connection_limit::{ConnectionPermit, QuietKind};
+use crate::net::downstream::connection_limit::{ConnectionPermit, WaitKind};
 use crate::net::downstream::dropped_input::DroppedMessage;
 use crate::net::downstream::input_buffer::InputBuffer;
 use crate::net::downstream::listener::ClientListener;
@@ -26,7 +26,7 @@
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
 /// Maximum number of bytes that are read and discarded while lingering: room for several messages of maximum size, but
 /// not for an endless stream.
-const LINGER_BYTES: usize = 1 << 20;
+const MAX_LINGER_BYTES: usize = 1 << 20;
 
 /// Maximum number of request ids in one log line.
 const MAX_LOGGED_IDS: usize = 5;
@@ -89,9 +89,9 @@
     pub(super) reading_paused_since: Option<Instant>,
     /// Time from which the current message is timed: when the client connected, when the previous message was processed
     /// or, after an idle wait, when the first bytes of the message arrived.
-    pub(super) message_started: Instant,
+    pub(super) message_started_at: Instant,
     /// When bytes last arrived from the client.
-    pub(super) last_input: Instant,
+    pub(super) last_input_at: Instant,
     /// Whether messages of the extended query protocol are ignored until the next Sync, as the protocol requires after
     /// an error.
     skipping_until_sync: bool,
@@ -113,8 +113,8 @@
         permit,
         input: InputBuffer::new(Rc::clone(&listener.pool)),
         reading_paused_since: None,
-        message_started: now,
-        last_input: now,
+        message_started_at: now,
+        last_input_at: now,
         skipping_until_sync: false,
         cancel_registration: None,
         listener,
@@ -135,7 +135,7 @@
     /// Serves the client until the connection has to be closed, and returns the reason.
     async fn serve_messages(&mut self) -> Result<Infallible, ConnectionEnd> {
         self.stream.set_nodelay(true)?;
-        self.start_up().await?;
+        self.perform_startup().await?;
         loop {
             let message = self.next_message().await?;
             let query = self.parse_if_query(&message);
@@ -143,7 +143,7 @@
             let mut out = self.listener.pool.acquire();
             self.handle_message(message.tag, query, &mut out).await?;
             self.write(&out).await?;
-            if self.ends_behind_answer()? {
+            if self.should_close_after_answer()? {
                 return Err(ConnectionEnd::Closed);
             }
         }
@@ -152,7 +152,7 @@
     /// Returns whether to close the connection now that an answer has been written. While clients are being
     /// disconnected, a connection is closed right after an answer because the client then notices the close together
     /// with the answer; the connection stays open if the next request has already arrived.
-    fn ends_behind_answer(&mut self) -> Result<bool, ConnectionEnd> {
+    fn should_close_after_answer(&mut self) -> Result<bool, ConnectionEnd> {
         if !self.listener.serving_state.mode().disconnects_clients() || !self.input.is_empty() {
             return Ok(false);
         }
@@ -161,12 +161,12 @@
     }
 
     /// Reads and answers the client's startup messages, up to and including the first ReadyForQuery.
-    async fn start_up(&mut self) -> Result<(), ConnectionEnd> {
+    async fn perform_startup(&mut self) -> Result<(), ConnectionEnd> {
         loop {
-            match pg::startup(self.input.unread()) {
+            match pg::startup(self.input.unprocessed()) {
                 Err(malformed) => return Err(self.end_with_violation(malformed.0).await),
                 Ok(None) => {
-                    if self.read_more(QuietKind::Starting).await? == ReadProgress::NoRoom {
+                    if self.read_more(WaitKind::Starting).await? == ReadProgress::NoMemory {
                         return Err(self.end_with_too_many_connections().await);
                     }
                 }
@@ -193,7 +193,7 @@
                 Err(ConnectionEnd::Closed)
             }
             Startup::Begin if self.permit.over_limit => {
-                self.reject_first_queries().await?;
+                self.reject_early_queries().await?;
                 Err(self.end_with_too_many_connections().await)
             }
             Startup::Begin => {
@@ -211,7 +211,7 @@
 
     /// Rejects the queries that a client sent together with its startup message on a connection over the limit. A
     /// single query needs no answer of its own: the error that ends the connection answers it.
-    async fn reject_first_queries(&mut self) -> Result<(), ConnectionEnd> {
+    async fn reject_early_queries(&mut self) -> Result<(), ConnectionEnd> {
         let queries = self.input.unanswered_queries();
         if queries < 2 {
             return Ok(());
@@ -229,9 +229,9 @@
     /// Returns the next message once it has arrived completely, or once it has been dropped because no memory was
     /// available for it.
     async fn next_message(&mut self) -> Result<Message, ConnectionEnd> {
-        self.message_started = Instant::now();
+        self.message_started_at = Instant::now();
         loop {
-            match pg::frame(self.input.unread()) {
+            match pg::frame(self.input.unprocessed()) {
                 Err(malformed) => return Err(self.end_with_violation(malformed.0).await),
                 Ok(Some(frame)) => {
                     return Ok(Message {
@@ -242,17 +242,17 @@
                 Ok(None) => {}
             }
             if let Some(dropped) = self.input.next_dropped() {
-                if let Some(message) = self.take_dropped(dropped).await? {
+                if let Some(message) = self.handle_dropped(dropped).await? {
                     return Ok(message);
                 }
-            } else if self.read_more(QuietKind::Idle).await? == ReadProgress::NoRoom {
+            } else if self.read_more(WaitKind::Idle).await? == ReadProgress::NoMemory {
                 self.input.start_dropping();
             }
         }
     }
 
     /// Handles the next dropped message. Returns `None` after reading more of a message that is incomplete.
-    async fn take_dropped(
+    async fn handle_dropped(
         &mut self,
         dropped: DroppedMessage,
     ) -> Result<Option<Message>, ConnectionEnd> {
@@ -262,7 +262,7 @@
                 body: MessageBody::Discarded,
             })),
             DroppedMessage::Incomplete { missing } => {
-                self.read_to_drop(missing).await?;
+                self.receive_and_drop(missing).await?;
                 Ok(None)
             }
             DroppedMessage::Terminate => Err(ConnectionEnd::Closed),
@@ -366,11 +366,11 @@
             listener,
             ..
         } = self;
-        let mut wait = permit.wait_quietly(QuietKind::Leaving);
+        let mut evictable_wait = permit.allow_eviction(WaitKind::Closing);
         let discarding = async {
             stream.shutdown().await?;
             let mut buffer = listener.pool.acquire();
-            let mut remaining = LINGER_BYTES;
+            let mut remaining = MAX_LINGER_BYTES;
             loop {
                 buffer.clear();
                 match stream.read_buf(&mut *buffer).await? {
@@ -385,7 +385,7 @@
         };
         tokio::select! {
             _ = timeout(LINGER_TIMEOUT, discarding) => {}
-            () = wait.evicted() => {}
+            () = evictable_wait.evicted() => {}
         }
     }
 }
--- a/src/net/downstream/connection_limit.rs
+++ b/src/net/downstream/connection_limit.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of connections beyond the limit: connections that are being rejected, and evicted ones that are still
 /// lingering. The descriptors for them are part of those that the process reserves in addition to the limit.
-const MAX_OVER_LIMIT: usize = 24;
+const MAX_CONNECTIONS_OVER_LIMIT: usize = 24;
 /// How long a connection may wait for its client during startup before it may be evicted. Clients that connect and send
 /// nothing would otherwise hold all connections for ever.
 const STARTING_GRACE: Duration = Duration::from_millis(500);
@@ -25,10 +25,10 @@
 
 /// Why a connection may be evicted: its client is not waiting for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum QuietKind {
-    /// The connection is being closed and stays open only until the client has received the last answer. It no longer
-    /// counts towards the limit.
-    Leaving,
+pub enum WaitKind {
+    /// The connection is being rejected or closed, and stays open only until the client has received the last message.
+    /// It no longer counts towards the limit.
+    Closing,
     /// The client has not completed its startup yet.
     Starting,
     /// The connection is idle between two requests.
@@ -38,7 +38,7 @@
 /// Orders waiting connections by kind and, within a kind, by the time at which the wait began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitKey {
-    kind: QuietKind,
+    kind: WaitKind,
     sequence: u64,
 }
 
@@ -47,7 +47,7 @@
     since: Instant,
     counted: Rc<Cell<bool>>,
     /// Dropping this sender evicts the connection.
-    _evict: oneshot::Sender<()>,
+    _evict_sender: oneshot::Sender<()>,
 }
 
 /// The limit on all client connections of a gateway.
@@ -55,13 +55,13 @@
     /// Maximum number of connections that count towards the limit, over all processes of this gateway.
     limit: usize,
     /// Number of connections above which idle ones are evicted sooner.
-    usual: usize,
+    crowding_threshold: usize,
     /// Descriptors that another process of this gateway uses for its clients and itself during a hot restart.
     other_process_descriptors: Cell<usize>,
     /// Number of connections that count towards the limit.
-    counted: Cell<usize>,
+    counted_connections: Cell<usize>,
     /// Number of all open connections, including those that are being rejected or have been evicted.
-    open: Cell<usize>,
+    open_connections: Cell<usize>,
     waits: RefCell<BTreeMap<WaitKey, WaitEntry>>,
     next_sequence: Cell<u64>,
 }
@@ -86,13 +86,13 @@
 impl ConnectionLimit {
     /// Creates a limit of `limit` connections. While more than `crowding_threshold` of them are open, idle ones are
     /// evicted sooner.
-    pub fn new(limit: usize, usual: usize) -> Rc<Self> {
+    pub fn new(limit: usize, crowding_threshold: usize) -> Rc<Self> {
         Rc::new(ConnectionLimit {
             limit,
-            usual,
+            crowding_threshold,
             other_process_descriptors: Cell::new(0),
-            counted: Cell::new(0),
-            open: Cell::new(0),
+            counted_connections: Cell::new(0),
+            open_connections: Cell::new(0),
             waits: RefCell::default(),
             next_sequence: Cell::new(0),
         })
@@ -100,7 +100,7 @@
 
     /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
     /// Sets the number of descriptors that another process of this gateway uses for its clients and itself. They reduce
@@ -110,34 +110,34 @@
     }
 
     /// Returns the part of the limit that is available to this process.
-    fn own_limit(&self) -> usize {
+    fn local_limit(&self) -> usize {
         self.limit
             .saturating_sub(self.other_process_descriptors.get())
     }
 
     /// Returns whether the limit is reached, so that a new connection is accepted only if another one is evicted.
     pub fn is_full(&self) -> bool {
-        self.counted.get() >= self.own_limit()
+        self.counted_connections.get() >= self.local_limit()
     }
 
     /// Returns a permit for a new connection, evicting the connection that has been waiting longest if necessary.
     /// Returns `None` if even the connections beyond the limit are used up.
     pub fn acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
-        if self.open.get() >= self.own_limit() + MAX_OVER_LIMIT
-            && !self.evict_first(QuietKind::Leaving, Duration::ZERO)
+        if self.open_connections.get() >= self.local_limit() + MAX_CONNECTIONS_OVER_LIMIT
+            && !self.evict_longest_waiting(WaitKind::Closing, Duration::ZERO)
         {
             return None;
         }
         // One eviction may not be enough: a connection that was evicted earlier, and has served one more request since,
         // no longer counts, so that evicting it again frees nothing.
         while self.is_full()
-            && (self.evict_first(QuietKind::Starting, STARTING_GRACE)
-                || self.evict_first(QuietKind::Idle, IDLE_GRACE))
+            && (self.evict_longest_waiting(WaitKind::Starting, STARTING_GRACE)
+                || self.evict_longest_waiting(WaitKind::Idle, IDLE_GRACE))
         {}
         let over_limit = self.is_full();
-        self.counted
-            .set(self.counted.get() + usize::from(!over_limit));
-        self.open.set(self.open.get() + 1);
+        self.counted_connections
+            .set(self.counted_connections.get() + usize::from(!over_limit));
+        self.open_connections.set(self.open_connections.get() + 1);
         Some(ConnectionPermit {
             connection_limit: Rc::clone(self),
             counted: Rc::new(Cell::new(!over_limit)),
@@ -147,55 +147,55 @@
 
     /// Evicts the connections that have been idle longest, while more connections than usual are open.
     pub fn close_longest_quiet(&self) {
-        while self.counted.get() > self.usual
-            && self.evict_first(QuietKind::Idle, CROWDED_IDLE_GRACE)
+        while self.counted_connections.get() > self.crowding_threshold
+            && self.evict_longest_waiting(WaitKind::Idle, CROWDED_IDLE_GRACE)
         {}
     }
 
     /// Evicts the connection that has been waiting longest in this state, if that is at least `grace`, and returns
     /// whether it did.
-    fn evict_first(&self, kind: QuietKind, grace: Duration) -> bool {
+    fn evict_longest_waiting(&self, kind: WaitKind, grace: Duration) -> bool {
         let mut waits = self.waits.borrow_mut();
         let all_of_kind = WaitKey { kind, sequence: 0 }..=WaitKey {
             kind,
             sequence: u64::MAX,
         };
-        let first = waits.range(all_of_kind).next();
-        let due = first
+        let longest_waiting = waits.range(all_of_kind).next();
+        let due_key = longest_waiting
             .filter(|(_, wait)| wait.since.elapsed() >= grace)
             .map(|(&key, _)| key);
-        let Some(evicted) = due.and_then(|key| waits.remove(&key)) else {
+        let Some(evicted) = due_key.and_then(|key| waits.remove(&key)) else {
             return false;
         };
         // The permit is available from now on. The connection is notified when the sender is dropped.
-        self.release(&evicted.counted);
+        self.stop_counting(&evicted.counted);
         true
     }
 
     /// Stops counting a connection towards the limit, unless that was done before.
-    fn release(&self, counted: &Cell<bool>) {
+    fn stop_counting(&self, counted: &Cell<bool>) {
         let was_counted = counted.replace(false);
-        self.counted
-            .set(self.counted.get() - usize::from(was_counted));
+        self.counted_connections
+            .set(self.counted_connections.get() - usize::from(was_counted));
     }
 }
 
 impl ConnectionPermit {
     /// Allows the connection to be evicted until the result is dropped. Must be called only while its client waits for
     /// no answer.
-    pub fn wait_quietly(&self, kind: QuietKind) -> EvictableWait<'_> {
+    pub fn allow_eviction(&self, kind: WaitKind) -> EvictableWait<'_> {
         let connection_limit = &*self.connection_limit;
-        if kind == QuietKind::Leaving {
-            connection_limit.release(&self.counted);
+        if kind == WaitKind::Closing {
+            connection_limit.stop_counting(&self.counted);
         }
         let sequence = connection_limit.next_sequence.get();
         connection_limit.next_sequence.set(sequence + 1);
         let key = WaitKey { kind, sequence };
-        let (evict, evicted) = oneshot::channel();
+        let (evict_sender, evicted) = oneshot::channel();
         let entry = WaitEntry {
             since: Instant::now(),
             counted: Rc::clone(&self.counted),
-            _evict: evict,
+            _evict_sender: evict_sender,
         };
         connection_limit.waits.borrow_mut().insert(key, entry);
         EvictableWait {
@@ -222,9 +222,9 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.connection_limit.release(&self.counted);
+        self.connection_limit.stop_counting(&self.counted);
         self.connection_limit
-            .open
-            .set(self.connection_limit.open.get() - 1);
+            .open_connections
+            .set(self.connection_limit.open_connections.get() - 1);
     }
 }
--- a/src/net/downstream/dropped_input.rs
+++ b/src/net/downstream/dropped_input.rs
@@ -24,7 +24,7 @@
 
 /// A message that ends the connection, so that later input is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LastMessage {
+enum FinalMessage {
     Terminate,
     Violation,
 }
@@ -35,24 +35,24 @@
     /// Number of complete queries.
     queries: usize,
     /// The bytes received so far of the header of the message behind the queries.
-    header: Vec<u8>,
+    partial_header: Vec<u8>,
     /// Number of bytes of that message's body that have not arrived.
-    missing_body: usize,
+    missing_body_bytes: usize,
     /// The message behind the queries that ends the connection, if it has arrived. All input behind it is ignored.
-    last: Option<LastMessage>,
+    final_message: Option<FinalMessage>,
     /// Number of bytes that were dropped since the last time that no dropped message was waiting.
-    dropped: usize,
+    dropped_bytes: usize,
 }
 
 impl DroppedInput {
     /// Returns whether there is any unprocessed message, complete or not.
     pub(super) fn is_active(&self) -> bool {
-        self.queries > 0 || !self.header.is_empty() || self.last.is_some()
+        self.queries > 0 || !self.partial_header.is_empty() || self.final_message.is_some()
     }
 
     /// Returns whether the client counts as flooding.
-    pub(super) fn is_flood(&self) -> bool {
-        self.dropped >= FLOOD_SIZE
+    pub(super) fn is_flooding(&self) -> bool {
+        self.dropped_bytes >= FLOOD_SIZE
     }
 
     /// Returns the number of complete queries.
@@ -62,15 +62,15 @@
 
     /// Parses the next received bytes, counts the messages in them and drops them.
     pub(super) fn drop_bytes(&mut self, bytes: &[u8]) {
-        self.dropped += bytes.len();
-        let mut rest = bytes;
-        while !rest.is_empty() && self.last.is_none() {
-            let taken = if self.missing_body > 0 {
-                self.drop_body(rest)
+        self.dropped_bytes += bytes.len();
+        let mut remaining = bytes;
+        while !remaining.is_empty() && self.final_message.is_none() {
+            let consumed = if self.missing_body_bytes > 0 {
+                self.drop_body(remaining)
             } else {
-                self.take_header(rest)
+                self.append_header(remaining)
             };
-            rest = &rest[taken..];
+            remaining = &remaining[consumed..];
         }
     }
 
@@ -81,59 +81,59 @@
             self.reset_if_done();
             return Some(DroppedMessage::Query);
         }
-        match self.last {
-            Some(LastMessage::Terminate) => Some(DroppedMessage::Terminate),
-            Some(LastMessage::Violation) => Some(DroppedMessage::Violation),
-            None if self.missing_body > 0 => Some(DroppedMessage::Incomplete {
-                missing: self.missing_body,
+        match self.final_message {
+            Some(FinalMessage::Terminate) => Some(DroppedMessage::Terminate),
+            Some(FinalMessage::Violation) => Some(DroppedMessage::Violation),
+            None if self.missing_body_bytes > 0 => Some(DroppedMessage::Incomplete {
+                missing: self.missing_body_bytes,
             }),
-            None if !self.header.is_empty() => Some(DroppedMessage::Incomplete {
-                missing: pg::HEADER_SIZE - self.header.len(),
+            None if !self.partial_header.is_empty() => Some(DroppedMessage::Incomplete {
+                missing: pg::HEADER_SIZE - self.partial_header.len(),
             }),
             None => None,
         }
     }
 
     fn drop_body(&mut self, bytes: &[u8]) -> usize {
-        let taken = self.missing_body.min(bytes.len());
-        self.missing_body -= taken;
-        if self.missing_body == 0 {
+        let consumed = self.missing_body_bytes.min(bytes.len());
+        self.missing_body_bytes -= consumed;
+        if self.missing_body_bytes == 0 {
             self.finish_query();
         }
-        taken
+        consumed
     }
 
-    fn take_header(&mut self, bytes: &[u8]) -> usize {
-        let taken = (pg::HEADER_SIZE - self.header.len()).min(bytes.len());
-        self.header.extend_from_slice(&bytes[..taken]);
-        if self.header.len() == pg::HEADER_SIZE {
+    fn append_header(&mut self, bytes: &[u8]) -> usize {
+        let consumed = (pg::HEADER_SIZE - self.partial_header.len()).min(bytes.len());
+        self.partial_header.extend_from_slice(&bytes[..consumed]);
+        if self.partial_header.len() == pg::HEADER_SIZE {
             self.begin_message();
         }
-        taken
+        consumed
     }
 
     /// Handles a complete header: begins the body of a query, or records the message that ends the connection.
     fn begin_message(&mut self) {
-        let size = pg::message_size(&self.header).unwrap_or_default();
-        match (pg::frame(&self.header), self.header[0]) {
-            (Err(_), _) => self.last = Some(LastMessage::Violation),
-            (Ok(_), pg::tag::TERMINATE) => self.last = Some(LastMessage::Terminate),
+        let size = pg::message_size(&self.partial_header).unwrap_or_default();
+        match (pg::frame(&self.partial_header), self.partial_header[0]) {
+            (Err(_), _) => self.final_message = Some(FinalMessage::Violation),
+            (Ok(_), pg::tag::TERMINATE) => self.final_message = Some(FinalMessage::Terminate),
             (Ok(_), pg::tag::QUERY) if size > pg::HEADER_SIZE => {
-                self.missing_body = size - pg::HEADER_SIZE;
+                self.missing_body_bytes = size - pg::HEADER_SIZE;
             }
             (Ok(_), pg::tag::QUERY) => self.finish_query(),
-            (Ok(_), _) => self.last = Some(LastMessage::Violation),
+            (Ok(_), _) => self.final_message = Some(FinalMessage::Violation),
         }
     }
 
     fn finish_query(&mut self) {
-        self.header.clear();
+        self.partial_header.clear();
         self.queries += 1;
     }
 
     fn reset_if_done(&mut self) {
         if !self.is_active() {
-            self.dropped = 0;
+            self.dropped_bytes = 0;
         }
     }
 }
--- a/src/net/downstream/input_buffer.rs
+++ b/src/net/downstream/input_buffer.rs
@@ -47,18 +47,18 @@
     }
 
     /// Returns the unprocessed bytes in the buffer.
-    pub(super) fn unread(&self) -> &[u8] {
+    pub(super) fn unprocessed(&self) -> &[u8] {
         self.buffer.as_deref().map_or(&[], |buffer| buffer)
     }
 
     /// Returns the number of unprocessed bytes in the buffer.
     pub(super) fn len(&self) -> usize {
-        self.unread().len()
+        self.unprocessed().len()
     }
 
     /// Returns whether all input has been processed, dropped messages included.
     pub(super) fn is_empty(&self) -> bool {
-        self.unread().is_empty() && !self.dropped.is_active()
+        self.unprocessed().is_empty() && !self.dropped.is_active()
     }
 
     /// Returns whether dropped messages are waiting to be processed, so that arriving input is dropped too.
@@ -67,21 +67,21 @@
     }
 
     /// Returns whether so much input has been dropped that the client counts as flooding.
-    pub(super) fn is_flood(&self) -> bool {
-        self.dropped.is_flood()
+    pub(super) fn is_flooding(&self) -> bool {
+        self.dropped.is_flooding()
     }
 
     /// Returns the number of complete queries that have not been processed, dropped ones included.
     pub(super) fn unanswered_queries(&self) -> usize {
-        pg::whole_queries(self.unread()).count() + self.dropped.queries()
+        pg::whole_queries(self.unprocessed()).count() + self.dropped.queries()
     }
 
     /// Returns the ids of the first unprocessed requests in the buffer, at most `max_ids` of them.
-    pub(super) fn first_request_ids(&self, most: usize) -> Vec<&str> {
-        pg::whole_queries(self.unread())
+    pub(super) fn first_request_ids(&self, max_ids: usize) -> Vec<&str> {
+        pg::whole_queries(self.unprocessed())
             .filter_map(|body| pg::statement(pg::query(body).ok()?).ok())
             .map(|statement| statement.id)
-            .take(most)
+            .take(max_ids)
             .collect()
     }
 
@@ -91,10 +91,10 @@
         let Some(buffer) = &mut self.buffer else {
             return;
         };
-        let whole = pg::whole_messages_size(buffer);
-        self.dropped.drop_bytes(&buffer[whole..]);
-        self.read_times.forget_last(buffer.len() - whole);
-        buffer.truncate(whole);
+        let complete_size = pg::whole_messages_size(buffer);
+        self.dropped.drop_bytes(&buffer[complete_size..]);
+        self.read_times.remove_last(buffer.len() - complete_size);
+        buffer.truncate(complete_size);
         self.release_if_empty();
     }
 
@@ -111,7 +111,7 @@
     /// Returns the number of bytes that are missing from the first message, or from its header while that is
     /// incomplete.
     pub(super) fn missing_bytes(&self) -> usize {
-        let size = pg::message_size(self.unread()).unwrap_or(pg::HEADER_SIZE);
+        let size = pg::message_size(self.unprocessed()).unwrap_or(pg::HEADER_SIZE);
         size.saturating_sub(self.len()).max(1)
     }
 
@@ -123,11 +123,11 @@
         let additional = self.len().clamp(MIN_READ_SPACE, pg::MAX_MESSAGE_SIZE);
         let pool = &self.pool;
         let buffer = self.buffer.get_or_insert_with(|| pool.acquire());
-        let has_room = match purpose {
+        let is_reserved = match purpose {
             ReadPurpose::NextMessage => buffer.try_reserve(additional),
-            ReadPurpose::ReadAhead => buffer.try_reserve_ahead(additional),
+            ReadPurpose::ReadAhead => buffer.try_reserve_read_ahead(additional),
         };
-        has_room.then_some(&mut **buffer)
+        is_reserved.then_some(&mut **buffer)
     }
 
     /// Records that a read added `length` bytes to the buffer.
@@ -146,7 +146,7 @@
 
     /// Returns the buffer to its pool if it is empty.
     pub(super) fn release_if_empty(&mut self) {
-        if self.unread().is_empty() {
+        if self.unprocessed().is_empty() {
             self.buffer = None;
         }
     }
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -53,7 +53,7 @@
                     }
                 }
                 Err(error) => {
-                    log!("cannot accept: {error}");
+                    log!("clients: cannot accept a connection: {error}");
                     sleep(ACCEPT_RETRY_DELAY).await;
                 }
             }
--- a/src/net/downstream/query.rs
+++ b/src/net/downstream/query.rs
@@ -45,8 +45,8 @@
     Empty,
     /// A valid request, and the time since the last byte of its message arrived.
     Request {
-        call: Box<ClientRequest>,
-        waited: Duration,
+        request: Box<ClientRequest>,
+        queue_time: Duration,
     },
     /// The statement cannot be converted into a request.
     Invalid(StatementError),
@@ -58,7 +58,7 @@
     Violation(&'static str),
 }
 
-/// Why a query does not become a request.
+/// Why a query cannot be converted into a request.
 enum QueryError {
     Statement(StatementError),
     NoMemory,
@@ -70,7 +70,7 @@
     }
 }
 
-/// What the wait for an answer ends with, where the client is still connected.
+/// The result of waiting for a request's answer, if the client did not disconnect meanwhile.
 enum QueryOutcome {
     /// The request's final answer.
     Answered(Answer),
@@ -85,7 +85,7 @@
         let MessageBody::InInput(range) = body else {
             return Query::NoMemory;
         };
-        let text = match pg::query(&self.input.unread()[range.clone()]) {
+        let text = match pg::query(&self.input.unprocessed()[range.clone()]) {
             Ok(text) => text,
             Err(malformed) => return Query::Violation(malformed.0),
         };
@@ -98,11 +98,11 @@
             return Query::ShuttingDown;
         }
         let arrived_at = self.input.arrival_of(range.end);
-        let waited = arrived_at.map_or(Duration::ZERO, |arrived_at| arrived_at.elapsed());
-        match self.parse_request(text, waited) {
-            Ok(call) => Query::Request {
-                call: Box::new(call),
-                waited,
+        let queue_time = arrived_at.map_or(Duration::ZERO, |arrived_at| arrived_at.elapsed());
+        match self.parse_request(text, queue_time) {
+            Ok(request) => Query::Request {
+                request: Box::new(request),
+                queue_time,
             },
             Err(QueryError::Statement(error)) => Query::Invalid(error),
             Err(QueryError::NoMemory) => Query::NoMemory,
@@ -132,12 +132,15 @@
                 increment(&requests.expired);
                 self.put_capacity_rejection(out);
             }
-            Query::Request { call, waited } => {
+            Query::Request {
+                request,
+                queue_time,
+            } => {
                 // The router rejects this request because no time is left for an attempt.
-                if call.timeout.is_zero() && !waited.is_zero() {
+                if request.timeout.is_zero() && !queue_time.is_zero() {
                     increment(&requests.expired);
                 }
-                let outcome = self.wait_for_answer(*call).await?;
+                let outcome = self.wait_for_answer(*request).await?;
                 self.put_outcome(outcome, out).await?;
             }
         }
@@ -174,7 +177,7 @@
                 pg::put_error(out, "ERROR", code::QUERY_CANCELED, message, None);
             }
             QueryOutcome::Answered(Answer::Served(row)) => {
-                *out = self.with_room_for_ready(row).await?;
+                *out = self.reserve_ready_for_query(row).await?;
             }
             QueryOutcome::Answered(Answer::Streamed(streamed)) => {
                 *out = self.forward_streamed(streamed).await?;
@@ -194,18 +197,20 @@
     /// receiver of the answer is dropped, so that the request starts no further attempt.
     async fn wait_for_answer(
         &mut self,
-        call: ClientRequest,
+        request: ClientRequest,
     ) -> Result<QueryOutcome, ConnectionEnd> {
         let (sender, answer) = oneshot::channel();
-        tokio::task::spawn_local(Rc::clone(&self.listener.request_context).serve(call, sender));
+        tokio::task::spawn_local(Rc::clone(&self.listener.request_context).serve(request, sender));
         let registration = self.cancel_registration.take();
-        let mut query = registration.as_ref().map(CancelRegistration::query);
+        let mut query = registration
+            .as_ref()
+            .map(CancelRegistration::cancellable_query);
         let outcome = async {
             tokio::select! {
                 biased;
                 // If the request's task ends without sending an answer, the client gets a failure.
                 answer = answer => QueryOutcome::Answered(answer.unwrap_or(Answer::Failed)),
-                () = cancelled(&mut query) => QueryOutcome::Cancelled,
+                () = wait_for_cancellation(&mut query) => QueryOutcome::Cancelled,
             }
         };
         let result = self.wait_while_connected(outcome).await;
@@ -214,17 +219,21 @@
         result
     }
 
-    /// Validates a statement and converts it into a request. Subtracts `queue_time` from its timeout.
-    fn parse_request(&self, text: &[u8], waited: Duration) -> Result<ClientRequest, QueryError> {
+    /// Validates a statement and converts it into a request, with `queue_time` subtracted from its timeout.
+    fn parse_request(
+        &self,
+        text: &[u8],
+        queue_time: Duration,
+    ) -> Result<ClientRequest, QueryError> {
         let context = &self.listener.request_context;
         let statement =
             pg::statement(text).map_err(|malformed| StatementError::Malformed(malformed.0))?;
-        let held_class = self
+        let class_handle = self
             .listener
             .classes
             .find(statement.class)
             .ok_or(StatementError::UnknownClass)?;
-        let class = &held_class.class;
+        let class = &class_handle.class;
         let group = GroupId(statement.group);
         if !context.upstream.may_have_group(group) {
             return Err(StatementError::UnknownGroup.into());
@@ -234,21 +243,21 @@
         // A client with an unlimited timeout could otherwise keep its request open for ever.
         let timeout =
             Duration::from_secs_f64(statement.timeout_ms / 1e3).min(duration(class.deadline));
-        let copy = self.copy_statement(text).ok_or(QueryError::NoMemory)?;
+        let text_copy = self.copy_statement(text).ok_or(QueryError::NoMemory)?;
         let id = context
             .reserve_id(statement.id)
             .ok_or(StatementError::DuplicateRequestId)?;
         Ok(ClientRequest {
             id,
-            session: session(&statement, class),
-            class: held_class,
+            session: session_id(&statement, class),
+            class: class_handle,
             group,
-            timeout: timeout.saturating_sub(waited),
+            timeout: timeout.saturating_sub(queue_time),
             minimum_position,
             retry: statement.retry,
             idempotency_key,
             statement: Statement {
-                text: copy,
+                text: text_copy,
                 timeout_range: statement.timeout_range,
             },
         })
@@ -274,13 +283,13 @@
 
     /// Copies a statement into a pooled buffer. Returns `None` if no memory is available for it.
     fn copy_statement(&self, text: &[u8]) -> Option<Buffer> {
-        let mut copy = self.listener.pool.acquire();
-        copy.append(text).then_some(copy)
+        let mut text_copy = self.listener.pool.acquire();
+        text_copy.append(text).then_some(text_copy)
     }
 }
 
 /// Returns the session that the statement's session key identifies, if requests of the class belong to sessions.
-fn session(statement: &pg::Statement<'_>, class: &RequestClass) -> Option<SessionId> {
+fn session_id(statement: &pg::Statement<'_>, class: &RequestClass) -> Option<SessionId> {
     let has_sessions = matches!(class.freshness, Freshness::Session | Freshness::Write);
     statement
         .session_key
@@ -317,7 +326,7 @@
 }
 
 /// Returns once the query is cancelled. Never returns if the client has no cancel key.
-async fn cancelled(query: &mut Option<CancellableQuery<'_>>) {
+async fn wait_for_cancellation(query: &mut Option<CancellableQuery<'_>>) {
     match query {
         Some(query) => query.cancelled().await,
         None => std::future::pending().await,
--- a/src/net/downstream/read_times.rs
+++ b/src/net/downstream/read_times.rs
@@ -58,10 +58,13 @@
     }
 
     /// Removes the last `length` bytes, as if they had not been received.
-    pub(super) fn forget_last(&mut self, length: usize) {
+    pub(super) fn remove_last(&mut self, length: usize) {
         self.received -= length as u64;
         while let Some(read) = self.reads.pop_back() {
-            let begin = self.reads.back().map_or(self.consumed, |before| before.end);
+            let begin = self
+                .reads
+                .back()
+                .map_or(self.consumed, |previous| previous.end);
             if begin < self.received {
                 let end = read.end.min(self.received);
                 self.reads.push_back(Read { end, ..read });
--- a/tests/unit/buffers.rs
+++ b/tests/unit/buffers.rs
@@ -14,12 +14,12 @@
     );
     assert!(
         other.append(&[2; BUFFER_SIZE]),
-        "the usual size needs none of it"
+        "a buffer of normal size needs none of the budget"
     );
     drop(large);
     assert!(
         other.append(&[2; 1]),
-        "and what is given back can be had again"
+        "the budget that a dropped buffer releases is available again"
     );
     drop(other);
     let reused = pool.acquire();
--- a/tests/unit/cancel.rs
+++ b/tests/unit/cancel.rs
@@ -11,40 +11,40 @@
 /// request arrives.
 #[test]
 fn cancel_request_with_a_registered_key_cancels_only_the_query_waited_for() {
-    let cancels = Rc::<CancelRegistry>::default();
-    let first = cancels.register().expect("a key");
-    let second = cancels.register().expect("a key");
+    let registry = Rc::<CancelRegistry>::default();
+    let first = registry.register().expect("a key");
+    let second = registry.register().expect("a key");
     assert_ne!(first.key(), second.key());
-    cancels.cancel(first.key());
-    let mut query = first.query();
+    registry.cancel(first.key());
+    let mut first_query = first.cancellable_query();
     assert!(
-        !is_cancelled(&mut query),
-        "the request arrived between two queries"
+        !is_cancelled(&mut first_query),
+        "a request that arrives between two queries cancels nothing"
     );
-    let mut other = second.query();
-    cancels.cancel(second.key());
+    let mut second_query = second.cancellable_query();
+    registry.cancel(second.key());
     assert!(
-        is_cancelled(&mut other) && !is_cancelled(&mut query),
-        "the request had the key of another connection"
+        is_cancelled(&mut second_query) && !is_cancelled(&mut first_query),
+        "a request cancels only the query of the connection with its key"
     );
-    cancels.cancel(&[0; 8]);
+    registry.cancel(&[0; 8]);
     assert!(
-        !is_cancelled(&mut query),
-        "the request had a key of no connection"
+        !is_cancelled(&mut first_query),
+        "a request with an unknown key cancels nothing"
     );
-    cancels.cancel(first.key());
-    cancels.cancel(first.key());
-    assert!(is_cancelled(&mut query));
-    drop(query);
+    registry.cancel(first.key());
+    registry.cancel(first.key());
+    assert!(is_cancelled(&mut first_query));
+    drop(first_query);
     assert!(
-        !is_cancelled(&mut first.query()),
-        "the query before it was cancelled twice"
+        !is_cancelled(&mut first.cancellable_query()),
+        "a second request for the previous query does not cancel the next one"
     );
-    drop(other);
+    drop(second_query);
     drop(first);
     drop(second);
     assert!(
-        cancels.by_key.borrow().is_empty(),
+        registry.by_key.borrow().is_empty(),
         "a connection that has ended is unregistered"
     );
 }
--- a/tests/unit/read_times.rs
+++ b/tests/unit/read_times.rs
@@ -10,7 +10,7 @@
     #[test]
     fn message_arrives_with_the_read_that_holds_its_last_byte(
         messages in prop::collection::vec(1_usize..60, 1..40),
-        cuts in prop::collection::vec(1_usize..80, 1..80),
+        read_lengths in prop::collection::vec(1_usize..80, 1..80),
     ) {
         let start = Instant::now();
         let at = |read: usize| start + Duration::from_millis(read as u64);
@@ -19,7 +19,7 @@
         let mut ends = Vec::new();
         let mut received = 0;
         for read in 0.. {
-            let length = cuts[read % cuts.len()].min(total - received);
+            let length = read_lengths[read % read_lengths.len()].min(total - received);
             received += length;
             times.record(length, at(read));
             ends.push(received);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn reads_are_bounded_and_never_later_than_they_were() {
+fn number_of_reads_is_bounded_and_merging_never_gives_a_later_time() {
     let start = Instant::now();
     let mut times = ReadTimes::default();
     for read in 0..10 * MAX_READS {
@@ -60,20 +60,20 @@
 }
 
 #[test]
-fn forgotten_bytes_leave_the_times_of_those_before_them() {
+fn removed_bytes_do_not_change_the_times_of_earlier_bytes() {
     let start = Instant::now();
     let at = |read: u64| start + Duration::from_millis(read);
     let mut times = ReadTimes::default();
     for read in 0..4 {
         times.record(10, at(read));
     }
-    times.forget_last(15);
+    times.remove_last(15);
     assert_eq!(times.arrival_of(25), Some(at(2)));
     assert_eq!(times.arrival_of(26), None);
     times.consume(20);
     times.record(10, at(9));
     assert_eq!(times.arrival_of(5), Some(at(2)));
     assert_eq!(times.arrival_of(6), Some(at(9)));
-    times.forget_last(15);
+    times.remove_last(15);
     assert_eq!(times.arrival_of(1), None);
 }
