--- a/src/net/admin/console.rs
+++ b/src/net/admin/console.rs
@@ -52,12 +52,12 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                make_room(&mut connections);
+                close_oldest(&mut connections);
                 let connection = spawn_local(serve_connection(stream, Rc::clone(&console)));
                 connections.push_back(connection.abort_handle());
             }
             Err(error) => {
-                log!("console: cannot accept: {error}");
+                log!("console: cannot accept a connection: {error}");
                 sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
@@ -65,7 +65,7 @@
 }
 
 /// Closes the oldest connections until one more fits into the limit.
-fn make_room(connections: &mut VecDeque<AbortHandle>) {
+fn close_oldest(connections: &mut VecDeque<AbortHandle>) {
     connections.retain(|connection| !connection.is_finished());
     while connections.len() >= MAX_CONNECTIONS {
         if let Some(oldest) = connections.pop_front() {
@@ -91,7 +91,7 @@
     let line = format_answer(&answer);
     stream.write_all(line.as_bytes()).await?;
     stream.shutdown().await?;
-    discard_rest(&mut stream).await;
+    discard_input(&mut stream).await;
     Ok(())
 }
 
@@ -124,9 +124,10 @@
 
 /// Reads and discards input until the caller closes its side. Closing a connection with unread bytes resets it, and the
 /// caller could lose the answer.
-async fn discard_rest(stream: &mut TcpStream) {
+async fn discard_input(stream: &mut TcpStream) {
     let mut discarded = [0; MAX_LINE_LENGTH];
-    let rest = async { while matches!(stream.read(&mut discarded).await, Ok(read) if read > 0) {} };
+    let discarding =
+        async { while matches!(stream.read(&mut discarded).await, Ok(read) if read > 0) {} };
     // On a timeout the connection is closed too.
-    let _ = timeout(CLOSE_TIMEOUT, rest).await;
+    let _ = timeout(CLOSE_TIMEOUT, discarding).await;
 }
--- a/src/net/admin/console_call.rs
+++ b/src/net/admin/console_call.rs
@@ -96,7 +96,7 @@
     pub fn parse(line: &[u8]) -> Result<Self, CallError> {
         let line = std::str::from_utf8(line).map_err(|_| CallError::Unknown)?;
         let line = line.strip_suffix('\r').unwrap_or(line);
-        let with_host = |name| line.strip_prefix(name).map(str::to_string);
+        let host_argument = |name| line.strip_prefix(name).map(str::to_string);
         match line {
             "readyz" => Ok(Self::Readiness),
             "evacuate" => Ok(Self::Evacuate),
@@ -105,9 +105,9 @@
             "duties" => Ok(Self::Leases),
             "plan" => Ok(Self::FailoverPlan),
             "drains" => Ok(Self::Drains),
-            _ => with_host("drain ")
+            _ => host_argument("drain ")
                 .map(|host| Self::Drain { host })
-                .or_else(|| with_host("undrain ").map(|host| Self::Undrain { host }))
+                .or_else(|| host_argument("undrain ").map(|host| Self::Undrain { host }))
                 .ok_or(CallError::Unknown),
         }
     }
@@ -156,10 +156,10 @@
             let site_failover = site_failover.ok_or(CallError::SiteFailoverOff)?;
             Ok(ConsoleAnswer::Status(site_failover.status_line()))
         }
-        ConsoleCall::Drains => Ok(ConsoleAnswer::Status(drains(console)?.status_line())),
-        ConsoleCall::Drain { host } => command_drain(console, &host, DesiredState::Drained).await,
+        ConsoleCall::Drains => Ok(ConsoleAnswer::Status(drain_service(console)?.status_line())),
+        ConsoleCall::Drain { host } => set_drain_state(console, &host, DesiredState::Drained).await,
         ConsoleCall::Undrain { host } => {
-            command_drain(console, &host, DesiredState::InService).await
+            set_drain_state(console, &host, DesiredState::InService).await
         }
     }
 }
@@ -187,16 +187,16 @@
     Ok(ConsoleAnswer::Activated)
 }
 
-fn drains(console: &Console) -> Result<&DrainService, CallError> {
+fn drain_service(console: &Console) -> Result<&DrainService, CallError> {
     console.drains.as_deref().ok_or(CallError::LeasesOff)
 }
 
-async fn command_drain(
+async fn set_drain_state(
     console: &Console,
     host: &str,
     desired_state: DesiredState,
 ) -> Result<ConsoleAnswer, CallError> {
-    match drains(console)?.command(host, desired_state).await {
+    match drain_service(console)?.command(host, desired_state).await {
         Ok(result) => Ok(ConsoleAnswer::DrainCommand(result.to_string())),
         Err(error) => Err(CallError::DrainCommand(error.to_string())),
     }
--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -22,13 +22,13 @@
 #[derive(Debug, Error)]
 enum PollError {
     /// No answer arrived within the call's time limit.
-    #[error("silent")]
-    Silent,
+    #[error("no answer within the time limit")]
+    TimedOut,
     /// The connection failed, or the HTTP response cannot be used.
     #[error(transparent)]
     Http(#[from] HttpError),
     /// The body of the answer is not an endpoint list.
-    #[error("malformed list: {0}")]
+    #[error("malformed endpoint list: {0}")]
     MalformedList(#[source] serde_json::Error),
 }
 
@@ -41,7 +41,7 @@
     answered: watch::Sender<bool>,
     /// Decides which gateway watches the list if one gateway does so for all; `None` if each gateway watches for
     /// itself.
-    fleet: Option<Rc<EndpointWatchService>>,
+    endpoint_watch: Option<Rc<EndpointWatchService>>,
     pacer: PollPacer,
 }
 
@@ -61,8 +61,8 @@
 
     /// Sends the request and reads the answer within the time limit.
     async fn send(&self, connection: &mut HttpConnection) -> Result<Response, PollError> {
-        let response = timeout(self.limits.silence, connection.exchange(&self.head)).await;
-        Ok(response.map_err(|_| PollError::Silent)??)
+        let response = timeout(self.limits.answer_timeout, connection.exchange(&self.head)).await;
+        Ok(response.map_err(|_| PollError::TimedOut)??)
     }
 }
 
@@ -75,7 +75,7 @@
     upstream: Rc<Upstream>,
     classes: Rc<Classes>,
     answered: watch::Sender<bool>,
-    fleet: Option<Rc<EndpointWatchService>>,
+    endpoint_watch: Option<Rc<EndpointWatchService>>,
 ) {
     let pacer = PollPacer::new(classes.settings().seed);
     let mut client = DiscoveryClient {
@@ -83,11 +83,11 @@
         upstream,
         classes,
         answered,
-        fleet,
+        endpoint_watch,
         pacer,
     };
-    let shared_by = client.shared_by();
-    sleep(client.pacer.first_delay(shared_by)).await;
+    let sharing_gateways = client.sharing_gateways();
+    sleep(client.pacer.first_delay(sharing_gateways)).await;
     loop {
         let address = *addresses.borrow_and_update();
         tokio::select! {
@@ -106,7 +106,7 @@
 impl DiscoveryClient {
     /// Returns the number of gateways that share one discovery service, or `None` if each gateway has an agent of its
     /// own.
-    fn shared_by(&self) -> Option<u32> {
+    fn sharing_gateways(&self) -> Option<u32> {
         let settings = self.classes.settings();
         settings
             .endpoint_list_on_request
@@ -119,12 +119,12 @@
         let Err(error) = self.poll(address).await else {
             return;
         };
-        if let Some(fleet) = self.fleet.as_deref() {
-            fleet.call_ended(false);
+        if let Some(endpoint_watch) = self.endpoint_watch.as_deref() {
+            endpoint_watch.call_ended(false);
         }
         log!("discovery: {error}");
-        let shared_by = self.shared_by();
-        sleep(self.pacer.retry_delay(shared_by)).await;
+        let sharing_gateways = self.sharing_gateways();
+        sleep(self.pacer.retry_delay(sharing_gateways)).await;
     }
 
     /// Polls until a call fails, or until another gateway watches the list for this one. The connection is closed in
@@ -159,25 +159,25 @@
 
     /// Waits until this gateway has to poll, and returns the kind of poll.
     async fn wait_for_first_poll(&self) -> PollKind {
-        match self.fleet.as_deref() {
-            Some(fleet) => fleet.wait_for_poll(&self.position).await,
+        match self.endpoint_watch.as_deref() {
+            Some(endpoint_watch) => endpoint_watch.wait_for_poll(&self.position).await,
             None => PollKind::Watch,
         }
     }
 
     /// Returns the kind of the next poll after an answer, or `None` if this gateway has to wait first.
     fn next_poll(&self) -> Option<PollKind> {
-        let Some(fleet) = self.fleet.as_deref() else {
+        let Some(endpoint_watch) = self.endpoint_watch.as_deref() else {
             return Some(PollKind::Watch);
         };
-        fleet.call_ended(true);
-        fleet.next_poll(&self.position)
+        endpoint_watch.call_ended(true);
+        endpoint_watch.next_poll(&self.position)
     }
 
     /// Returns the request for the changes since the current revision, or for the whole list.
     fn poll_request(&mut self, address: SocketAddr, kind: PollKind) -> PollRequest {
-        let shared_by = self.shared_by();
-        let limits = self.pacer.call_limits(shared_by);
+        let sharing_gateways = self.sharing_gateways();
+        let limits = self.pacer.call_limits(sharing_gateways);
         let Some(revision) = self.position.changes_from() else {
             return PollRequest::new(address, ENDPOINT_LIST_PATH, limits);
         };
@@ -198,15 +198,19 @@
             self.upstream.apply_endpoint_list(&list);
         }
         self.answered.send_replace(true);
-        self.pacer.answered();
+        self.pacer.record_answer();
         Ok(accepted)
     }
 
     /// Returns once another gateway watches the list for this one. Never returns if each gateway watches for itself, or
     /// during a call that does not wait for changes.
     async fn superseded(&self, kind: PollKind) {
-        match self.fleet.as_deref().filter(|_| kind == PollKind::Watch) {
-            Some(fleet) => fleet.superseded(&self.position).await,
+        match self
+            .endpoint_watch
+            .as_deref()
+            .filter(|_| kind == PollKind::Watch)
+        {
+            Some(endpoint_watch) => endpoint_watch.superseded(&self.position).await,
             None => std::future::pending().await,
         }
     }
--- a/src/net/discovery/http.rs
+++ b/src/net/discovery/http.rs
@@ -21,25 +21,25 @@
 #[derive(Debug, Error)]
 pub enum HttpError {
     /// The connection was not established in time.
-    #[error("no connection in time")]
+    #[error("no connection within the time limit")]
     ConnectTimeout,
     /// Connecting failed, for example because the connection was refused.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
     /// The socket option `TCP_NODELAY` could not be set on the new connection.
-    #[error("{0}")]
+    #[error("cannot set TCP_NODELAY: {0}")]
     Configure(#[source] io::Error),
     /// The request could not be sent.
-    #[error("cannot write: {0}")]
+    #[error("cannot send the request: {0}")]
     Write(#[source] io::Error),
     /// The answer could not be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the answer: {0}")]
     Read(#[source] io::Error),
     /// The connection was closed before the answer was complete.
-    #[error("the connection was closed")]
+    #[error("connection closed before the answer was complete")]
     ConnectionClosed,
     /// The answer exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("an answer is too large")]
+    #[error("answer exceeds the size limit")]
     ResponseTooLarge,
     /// The answer cannot be used.
     #[error(transparent)]
@@ -50,19 +50,19 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
     /// The status line or the headers cannot be parsed.
-    #[error("malformed answer: {0}")]
+    #[error("malformed HTTP head: {0}")]
     MalformedHead(#[source] httparse::Error),
     /// The status is not 200.
-    #[error("answer {0}")]
+    #[error("HTTP status {0} instead of 200")]
     Status(u16),
     /// The value of `Content-Length` is not a number, or exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("an answer with a malformed length")]
+    #[error("Content-Length is not a number or exceeds the size limit")]
     MalformedLength,
     /// The size of a chunk cannot be parsed.
-    #[error("a malformed chunk")]
+    #[error("malformed chunk size")]
     MalformedChunk,
     /// A chunk exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("a chunk is too large")]
+    #[error("chunk exceeds the size limit")]
     ChunkTooLarge,
 }
 
@@ -174,7 +174,7 @@
     if head.code != Some(200) {
         return Err(ResponseError::Status(head.code.unwrap_or(0)));
     }
-    let closes_connection = connection_ended || has_value(&head, "connection", b"close");
+    let closes_connection = connection_ended || header_equals(&head, "connection", b"close");
     let body = parse_body(&head, bytes, body_start, connection_ended)?;
     Ok(body.map(|ParsedBody { body, end }| ParsedResponse {
         response: Response {
@@ -192,10 +192,10 @@
     start: usize,
     connection_ended: bool,
 ) -> Result<Option<ParsedBody>, ResponseError> {
-    if has_value(head, "transfer-encoding", b"chunked") {
+    if header_equals(head, "transfer-encoding", b"chunked") {
         return parse_chunks(bytes, start);
     }
-    if let Some(length) = header(head, "content-length") {
+    if let Some(length) = header_value(head, "content-length") {
         let end = start + parse_length(length)?;
         return Ok(body_between(bytes, start, end));
     }
@@ -212,7 +212,7 @@
 }
 
 /// Returns the value of the first header with this name.
-fn header<'a>(head: &'a httparse::Response<'_, '_>, name: &str) -> Option<&'a [u8]> {
+fn header_value<'a>(head: &'a httparse::Response<'_, '_>, name: &str) -> Option<&'a [u8]> {
     head.headers
         .iter()
         .find(|header| header.name.eq_ignore_ascii_case(name))
@@ -220,8 +220,8 @@
 }
 
 /// Returns whether the first header with this name has the expected value, ignoring case.
-fn has_value(head: &httparse::Response<'_, '_>, name: &str, expected: &[u8]) -> bool {
-    header(head, name).is_some_and(|value| value.eq_ignore_ascii_case(expected))
+fn header_equals(head: &httparse::Response<'_, '_>, name: &str, expected: &[u8]) -> bool {
+    header_value(head, name).is_some_and(|value| value.eq_ignore_ascii_case(expected))
 }
 
 /// Parses the value of a `Content-Length` header.
--- a/src/net/discovery/poll_interval.rs
+++ b/src/net/discovery/poll_interval.rs
@@ -53,7 +53,7 @@
     /// How long the call may wait for changes.
     pub hold: Duration,
     /// Time from the start of the call, including its hold, after which it fails if no answer has arrived.
-    pub silence: Duration,
+    pub answer_timeout: Duration,
 }
 
 impl CallLimits {
@@ -61,7 +61,7 @@
     fn new(hold: Duration, silence_timeout: Duration) -> Self {
         CallLimits {
             hold,
-            silence: hold + silence_timeout,
+            answer_timeout: hold + silence_timeout,
         }
     }
 
@@ -69,7 +69,7 @@
     pub fn without_hold(self) -> Self {
         CallLimits {
             hold: Duration::ZERO,
-            silence: self.silence - self.hold,
+            answer_timeout: self.answer_timeout - self.hold,
         }
     }
 }
@@ -87,9 +87,9 @@
     /// Returns the time limits of the next call. Gateways that share a service get random, different holds. After a
     /// failure and at startup, a call to an agent does not wait for changes: otherwise a missed change would become
     /// known only after the hold of another failing call.
-    pub fn call_limits(&mut self, shared_by: Option<u32>) -> CallLimits {
-        if shared_by.is_some() {
-            let hold = self.random_part(SHARED_HOLD, 0.5);
+    pub fn call_limits(&mut self, sharing_gateways: Option<u32>) -> CallLimits {
+        if sharing_gateways.is_some() {
+            let hold = self.random_fraction(SHARED_HOLD, 0.5);
             return CallLimits::new(hold, SHARED_SILENCE_TIMEOUT);
         }
         let hold = if self.last_call_answered {
@@ -101,40 +101,40 @@
     }
 
     /// Returns the pause before the first call.
-    pub fn first_delay(&mut self, shared_by: Option<u32>) -> Duration {
-        match shared_by {
-            Some(gateways) => self.random_part(start_period(gateways), 0.0),
+    pub fn first_delay(&mut self, sharing_gateways: Option<u32>) -> Duration {
+        match sharing_gateways {
+            Some(gateways) => self.random_fraction(watch_start_period(gateways), 0.0),
             None => Duration::ZERO,
         }
     }
 
     /// Records a failure and returns the pause after it, which doubles with each failure up to a maximum and is
     /// randomized.
-    pub fn retry_delay(&mut self, shared_by: Option<u32>) -> Duration {
+    pub fn retry_delay(&mut self, sharing_gateways: Option<u32>) -> Duration {
         self.last_call_answered = false;
-        let (shortest, longest) = match shared_by {
+        let (min_delay, max_delay) = match sharing_gateways {
             None => (FIRST_RETRY_DELAY, MAX_RETRY_DELAY),
-            Some(gateways) => (start_period(gateways), MAX_SHARED_RETRY_DELAY),
+            Some(gateways) => (watch_start_period(gateways), MAX_SHARED_RETRY_DELAY),
         };
-        self.retry_delay = (self.retry_delay * 2).clamp(shortest, longest);
-        self.random_part(self.retry_delay, 0.5)
+        self.retry_delay = (self.retry_delay * 2).clamp(min_delay, max_delay);
+        self.random_fraction(self.retry_delay, 0.5)
     }
 
     /// Records an answer: the next call follows at once.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.retry_delay = Duration::ZERO;
         self.last_call_answered = true;
     }
 
-    /// Returns a random time between `min_fraction` of `time` and all of it.
-    fn random_part(&mut self, time: Duration, smallest_share: f64) -> Duration {
+    /// Returns a random duration between `min_fraction` of `max` and `max`.
+    fn random_fraction(&mut self, max: Duration, min_fraction: f64) -> Duration {
         let random = f64::from(self.rng.rand_float());
-        time.mul_f64(smallest_share + (1.0 - smallest_share) * random)
+        max.mul_f64(min_fraction + (1.0 - min_fraction) * random)
     }
 }
 
 /// Returns the period during which each of the gateways that share a service starts one watch.
-fn start_period(gateways: u32) -> Duration {
+fn watch_start_period(gateways: u32) -> Duration {
     (SHARED_START_INTERVAL * gateways).min(MAX_SHARED_RETRY_DELAY)
 }
 
--- a/tests/unit/discovery.rs
+++ b/tests/unit/discovery.rs
@@ -24,7 +24,7 @@
         assert_eq!(
             parse_response(&plain[..cut], true),
             Ok(None),
-            "{cut} bytes and an end"
+            "{cut} bytes and the end of the connection"
         );
     }
     assert_eq!(
@@ -42,7 +42,7 @@
         assert_eq!(
             parse_response(&chunks[..cut], true),
             Ok(None),
-            "{cut} bytes and an end"
+            "{cut} bytes and the end of the connection"
         );
     }
     assert_eq!(
@@ -76,15 +76,18 @@
 
 #[test]
 fn malformed_answer_is_an_error() {
-    for bad in [
+    for malformed in [
         "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: -4\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nxyz\r\n",
         "no HTTP at all\r\n\r\n",
     ] {
-        for ended in [false, true] {
-            assert!(parse_response(bad.as_bytes(), ended).is_err(), "{bad}");
+        for connection_ended in [false, true] {
+            assert!(
+                parse_response(malformed.as_bytes(), connection_ended).is_err(),
+                "{malformed}"
+            );
         }
     }
 }
--- a/tests/unit/poll_interval.rs
+++ b/tests/unit/poll_interval.rs
@@ -12,11 +12,11 @@
 /// against a gateway that delays the first call to its own agent.
 #[test]
 fn polls_of_a_shared_service_are_rare_and_spread_and_those_of_an_agent_start_at_once() {
-    let shared_by = Some(48);
+    let sharing_gateways = Some(48);
     let mut pacers: Vec<PollPacer> = (0..48).map(PollPacer::new).collect();
     let mut first_delays: Vec<Duration> = pacers
         .iter_mut()
-        .map(|pacer| pacer.first_delay(shared_by))
+        .map(|pacer| pacer.first_delay(sharing_gateways))
         .collect();
     first_delays.sort();
     let starts_soon_after = |from: Duration| {
@@ -32,42 +32,48 @@
         "{first_delays:?}"
     );
     for pacer in &mut pacers {
-        let pauses: Vec<Duration> = (0..12).map(|_| pacer.retry_delay(shared_by)).collect();
+        let pauses: Vec<Duration> = (0..12)
+            .map(|_| pacer.retry_delay(sharing_gateways))
+            .collect();
         assert!(
             pauses[0] >= SHARED_START_INTERVAL * 24
                 && pauses[11] >= MAX_SHARED_RETRY_DELAY / 2
                 && pauses[11] <= MAX_SHARED_RETRY_DELAY
         );
-        pacer.answered();
+        pacer.record_answer();
         assert!(
-            pacer.retry_delay(shared_by) <= SHARED_START_INTERVAL * 48
-                && pacer.call_limits(shared_by).hold >= SHARED_HOLD / 2
+            pacer.retry_delay(sharing_gateways) <= SHARED_START_INTERVAL * 48
+                && pacer.call_limits(sharing_gateways).hold >= SHARED_HOLD / 2
         );
     }
-    let mut of_agent = PollPacer::new(1);
-    assert_eq!(of_agent.first_delay(None), Duration::ZERO);
-    assert!((0..20).all(|_| of_agent.retry_delay(None) <= MAX_RETRY_DELAY));
+    let mut agent_pacer = PollPacer::new(1);
+    assert_eq!(agent_pacer.first_delay(None), Duration::ZERO);
+    assert!((0..20).all(|_| agent_pacer.retry_delay(None) <= MAX_RETRY_DELAY));
 }
 
 /// Guards against holds and pauses that add up to more than the deadline for knowing a change. In the worst case a
 /// watch breaks at the moment it begins, and one more call then fails, is refused or is never answered.
 #[test]
-fn broken_watch_and_another_failed_call_leave_a_change_known_within_its_deadline() {
+fn change_is_known_within_its_deadline_after_a_broken_watch_and_a_failed_call() {
     for seed in 0..200 {
         let mut pacer = PollPacer::new(seed);
-        pacer.answered();
-        let watch = pacer.call_limits(None).silence;
-        let pause = pacer.retry_delay(None);
-        let again = pacer.call_limits(None);
-        assert_eq!(again.hold, Duration::ZERO, "missed changes arrive at once");
-        let two = watch
-            + pause
-            + again.silence
+        pacer.record_answer();
+        let watch_timeout = pacer.call_limits(None).answer_timeout;
+        let first_delay = pacer.retry_delay(None);
+        let second_call = pacer.call_limits(None);
+        assert_eq!(
+            second_call.hold,
+            Duration::ZERO,
+            "missed changes arrive at once"
+        );
+        let worst_case = watch_timeout
+            + first_delay
+            + second_call.answer_timeout
             + pacer.retry_delay(None)
-            + pacer.call_limits(None).silence;
+            + pacer.call_limits(None).answer_timeout;
         assert!(
-            two <= CHANGE_DEADLINE,
-            "a silent watch and a silent call: {two:?}"
+            worst_case <= CHANGE_DEADLINE,
+            "a watch and a call without an answer, then an answered call: {worst_case:?}"
         );
     }
 }
