--- a/src/net/downstream/connection_limit.rs
+++ b/src/net/downstream/connection_limit.rs
@@ -20,8 +20,8 @@
 /// of a gateway's descriptors: many clients that each send one request and stay connected would leave none for clients
 /// that send one request after another.
 const CROWDED_IDLE_GRACE: Duration = Duration::from_millis(150);
-/// Interval between two calls of [`ConnectionLimit::close_longest_quiet`]: short compared with [`CROWDED_IDLE_GRACE`].
-pub const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two calls of [`ConnectionLimit::evict_longest_idle`]: short compared with [`CROWDED_IDLE_GRACE`].
+pub const IDLE_EVICTION_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Why a connection may be evicted: its client is not waiting for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -146,7 +146,7 @@
     }
 
     /// Evicts the connections that have been idle longest, while more connections than usual are open.
-    pub fn close_longest_quiet(&self) {
+    pub fn evict_longest_idle(&self) {
         while self.counted_connections.get() > self.crowding_threshold
             && self.evict_longest_waiting(WaitKind::Idle, CROWDED_IDLE_GRACE)
         {}
--- a/src/net/downstream/listener.rs
+++ b/src/net/downstream/listener.rs
@@ -62,7 +62,7 @@
 
     /// Accepts the connections that are still in the accept queue when the process terminates, because requests may
     /// already have arrived on them.
-    pub async fn accept_rest(self: &Rc<Self>, listener: &TcpListener) {
+    pub async fn accept_queued(self: &Rc<Self>, listener: &TcpListener) {
         while let Ok(Ok((stream, _))) = timeout(ACCEPT_QUEUE_TIMEOUT, listener.accept()).await {
             self.spawn_connection(stream);
             yield_now().await;
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -145,7 +145,7 @@
     accept_task.abort();
     let _ = accept_task.await;
     if listener.source == ListenerSource::Bound {
-        client_listener.accept_rest(&listener.socket).await;
+        client_listener.accept_queued(&listener.socket).await;
     }
 }
 
--- a/src/net/lifecycle/startup.rs
+++ b/src/net/lifecycle/startup.rs
@@ -8,7 +8,7 @@
 use crate::net::config::{Config, ListenerSource};
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::net::discovery;
-use crate::net::downstream::connection_limit::{ConnectionLimit, QUIET_CHECK_INTERVAL};
+use crate::net::downstream::connection_limit::{ConnectionLimit, IDLE_EVICTION_INTERVAL};
 use crate::net::downstream::listener::ClientListener;
 use crate::net::endpoint_list::{EndpointList, ListPosition};
 use crate::net::hot_restart::{self, HotRestart};
@@ -162,8 +162,8 @@
     let upstream = Rc::clone(&parts.upstream);
     spawn_local(repeat(IDLE_CLOSE_INTERVAL, move || upstream.close_idle()));
     let connection_limit = Rc::clone(&client_listener.connection_limit);
-    spawn_local(repeat(QUIET_CHECK_INTERVAL, move || {
-        connection_limit.close_longest_quiet()
+    spawn_local(repeat(IDLE_EVICTION_INTERVAL, move || {
+        connection_limit.evict_longest_idle()
     }));
 }
 
