--- a/src/net/discovery/http.rs
+++ b/src/net/discovery/http.rs
@@ -1,5 +1,5 @@
-//! The part of HTTP/1.1 that discovery needs: GET requests over one connection, and answers with a length, in chunks or
-//! up to the end of the connection.
+//! The subset of HTTP/1.1 that discovery needs: GET requests over one connection, and responses whose body has a
+//! length, is chunked or ends with the connection.
 
 use bytes::{Buf, BytesMut};
 use std::io;
@@ -10,38 +10,38 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Largest answer that is read, in bytes: far more than the list of a large fleet.
+/// Maximum size of an answer, in bytes: far more than the endpoint list of a large fleet.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// Most headers that an answer may have.
+/// Maximum number of headers in an answer.
 const MAX_HEADERS: usize = 32;
-/// The line break behind the bytes of a chunk.
+/// The line break after the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
 /// Why no answer was received. The text goes to the log.
 #[derive(Debug, Error)]
 pub enum HttpError {
     /// The connection was not established in time.
-    #[error("no connection in time")]
+    #[error("no connection within the time limit")]
     ConnectTimeout,
-    /// The connection was refused.
+    /// Connecting failed, for example because the connection was refused.
     #[error("no connection: {0}")]
     Connect(#[source] io::Error),
-    /// The new connection could not be configured.
-    #[error("{0}")]
+    /// The socket option `TCP_NODELAY` could not be set on the new connection.
+    #[error("cannot set TCP_NODELAY: {0}")]
     Configure(#[source] io::Error),
     /// The request could not be sent.
-    #[error("cannot write: {0}")]
+    #[error("cannot send the request: {0}")]
     Write(#[source] io::Error),
     /// The answer could not be read.
-    #[error("cannot read: {0}")]
+    #[error("cannot read the answer: {0}")]
     Read(#[source] io::Error),
-    /// The connection ended before the answer did.
-    #[error("the connection was closed")]
+    /// The connection was closed before the answer was complete.
+    #[error("connection closed before the answer was complete")]
     ConnectionClosed,
     /// The answer exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("an answer is too large")]
+    #[error("answer exceeds the size limit")]
     ResponseTooLarge,
-    /// The answer is not what was asked for.
+    /// The answer cannot be used.
     #[error(transparent)]
     Response(#[from] ResponseError),
 }
@@ -49,29 +49,29 @@
 /// Why an answer cannot be used. The text goes to the log.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum ResponseError {
-    /// The head cannot be parsed.
-    #[error("malformed answer: {0}")]
+    /// The status line or the headers cannot be parsed.
+    #[error("malformed HTTP head: {0}")]
     MalformedHead(#[source] httparse::Error),
     /// The status is not 200.
-    #[error("answer {0}")]
+    #[error("HTTP status {0} instead of 200")]
     Status(u16),
-    /// The length is no number, or exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("an answer with a malformed length")]
+    /// The value of `Content-Length` is not a number, or exceeds [`MAX_RESPONSE_BYTES`].
+    #[error("Content-Length is not a number or exceeds the size limit")]
     MalformedLength,
     /// The size of a chunk cannot be parsed.
-    #[error("a malformed chunk")]
+    #[error("malformed chunk size")]
     MalformedChunk,
     /// A chunk exceeds [`MAX_RESPONSE_BYTES`].
-    #[error("a chunk is too large")]
+    #[error("chunk exceeds the size limit")]
     ChunkTooLarge,
 }
 
 /// A complete answer.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Response {
-    /// Its body.
+    /// The body of the answer.
     pub body: Vec<u8>,
-    /// Its connection takes no further request.
+    /// Whether the connection cannot be used for another request.
     pub closes_connection: bool,
 }
 
@@ -79,36 +79,36 @@
 #[derive(Debug, PartialEq, Eq)]
 struct ParsedResponse {
     response: Response,
-    /// How many of the bytes it takes, with its head.
+    /// Number of bytes of the answer, including its head.
     length: usize,
 }
 
-/// The body of an answer, and where it ends in the bytes received so far.
+/// The body of an answer, and the position after it in the bytes received so far.
 struct ParsedBody {
     body: Vec<u8>,
     end: usize,
 }
 
-/// One chunk of a body, and where it ends in the bytes received so far.
+/// One chunk of a body, and the position after it in the bytes received so far.
 struct ParsedChunk<'a> {
-    /// Empty in the last chunk.
+    /// The data of the chunk; empty in the last chunk.
     data: &'a [u8],
     end: usize,
 }
 
-/// A connection that takes one request at a time.
+/// An HTTP connection that handles one request at a time.
 pub struct HttpConnection {
     stream: TcpStream,
-    /// What has been received and belongs to no answer yet.
+    /// Received bytes that have not been parsed as an answer yet.
     received: BytesMut,
 }
 
 impl HttpConnection {
-    /// Connects within this time.
+    /// Connects within the time limit `limit`.
     ///
     /// # Errors
     ///
-    /// If the connection is refused, or not established in time.
+    /// The connection is refused, is not established in time, or cannot be configured.
     pub async fn connect(address: SocketAddr, limit: Duration) -> Result<Self, HttpError> {
         let connecting = timeout(limit, TcpStream::connect(address)).await;
         let stream = connecting
@@ -121,11 +121,11 @@
         })
     }
 
-    /// Sends a whole request and reads its answer, without a time limit.
+    /// Sends a complete request and reads its answer, without a time limit.
     ///
     /// # Errors
     ///
-    /// If the connection fails, or if the answer cannot be used: the connection takes no further request then.
+    /// The connection fails, or the answer cannot be used. The connection must not be used again after an error.
     pub async fn exchange(&mut self, request: &str) -> Result<Response, HttpError> {
         self.stream
             .write_all(request.as_bytes())
@@ -134,7 +134,7 @@
         self.read_response().await
     }
 
-    /// Reads one answer, and keeps what was received behind it.
+    /// Reads one answer. Bytes received after it are kept for the next call.
     async fn read_response(&mut self) -> Result<Response, HttpError> {
         loop {
             if let Some(parsed) = parse_response(&self.received, false)? {
@@ -144,7 +144,7 @@
             if self.received.len() > MAX_RESPONSE_BYTES {
                 return Err(HttpError::ResponseTooLarge);
             }
-            // A reset is an error, and not the end of a body without a length.
+            // A connection reset is an error, unlike an orderly close, which ends a body without a length.
             let bytes_read = self
                 .stream
                 .read_buf(&mut self.received)
@@ -159,7 +159,8 @@
     }
 }
 
-/// Parses one answer; None while it is incomplete. An answer without a length is complete once its connection has ended.
+/// Parses one answer, or returns `None` while it is incomplete. An answer without a length is complete only once its
+/// connection has ended.
 fn parse_response(
     bytes: &[u8],
     connection_ended: bool,
@@ -173,7 +174,7 @@
     if head.code != Some(200) {
         return Err(ResponseError::Status(head.code.unwrap_or(0)));
     }
-    let closes_connection = connection_ended || has_value(&head, "connection", b"close");
+    let closes_connection = connection_ended || header_equals(&head, "connection", b"close");
     let body = parse_body(&head, bytes, body_start, connection_ended)?;
     Ok(body.map(|ParsedBody { body, end }| ParsedResponse {
         response: Response {
@@ -184,17 +185,17 @@
     }))
 }
 
-/// Parses the body of an answer, which begins at this position; None while it is incomplete.
+/// Parses the body that begins at `start`, or returns `None` while it is incomplete.
 fn parse_body(
     head: &httparse::Response<'_, '_>,
     bytes: &[u8],
     start: usize,
     connection_ended: bool,
 ) -> Result<Option<ParsedBody>, ResponseError> {
-    if has_value(head, "transfer-encoding", b"chunked") {
+    if header_equals(head, "transfer-encoding", b"chunked") {
         return parse_chunks(bytes, start);
     }
-    if let Some(length) = header(head, "content-length") {
+    if let Some(length) = header_value(head, "content-length") {
         let end = start + parse_length(length)?;
         return Ok(body_between(bytes, start, end));
     }
@@ -204,26 +205,26 @@
     Ok(None)
 }
 
-/// The body between these positions; None where not all of it has been received.
+/// Returns the body between these positions, or `None` while it has not been received completely.
 fn body_between(bytes: &[u8], start: usize, end: usize) -> Option<ParsedBody> {
     let body = bytes.get(start..end)?.to_vec();
     Some(ParsedBody { body, end })
 }
 
-/// The value of the first header of this name.
-fn header<'a>(head: &'a httparse::Response<'_, '_>, name: &str) -> Option<&'a [u8]> {
+/// Returns the value of the first header with this name.
+fn header_value<'a>(head: &'a httparse::Response<'_, '_>, name: &str) -> Option<&'a [u8]> {
     head.headers
         .iter()
         .find(|header| header.name.eq_ignore_ascii_case(name))
         .map(|header| header.value)
 }
 
-/// Whether the first header of this name has this value; upper and lower case are alike.
-fn has_value(head: &httparse::Response<'_, '_>, name: &str, expected: &[u8]) -> bool {
-    header(head, name).is_some_and(|value| value.eq_ignore_ascii_case(expected))
+/// Returns whether the first header with this name has the expected value, ignoring case.
+fn header_equals(head: &httparse::Response<'_, '_>, name: &str, expected: &[u8]) -> bool {
+    header_value(head, name).is_some_and(|value| value.eq_ignore_ascii_case(expected))
 }
 
-/// Parses the length of a body.
+/// Parses the value of a `Content-Length` header.
 fn parse_length(value: &[u8]) -> Result<usize, ResponseError> {
     std::str::from_utf8(value)
         .ok()
@@ -232,7 +233,7 @@
         .ok_or(ResponseError::MalformedLength)
 }
 
-/// Parses a body in chunks that begins at this position; None while it is incomplete.
+/// Parses the chunked body that begins at `start`, or returns `None` while it is incomplete.
 fn parse_chunks(bytes: &[u8], start: usize) -> Result<Option<ParsedBody>, ResponseError> {
     let mut body = Vec::new();
     let mut position = start;
@@ -251,7 +252,7 @@
     }
 }
 
-/// Parses the chunk that begins at this position; None while it is incomplete.
+/// Parses the chunk that begins at `start`, or returns `None` while it is incomplete.
 fn parse_chunk(bytes: &[u8], start: usize) -> Result<Option<ParsedChunk<'_>>, ResponseError> {
     let parsed =
         httparse::parse_chunk_size(&bytes[start..]).map_err(|_| ResponseError::MalformedChunk)?;
--- a/src/net/downstream/connection_limit.rs
+++ b/src/net/downstream/connection_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on open client connections, and the choice of the quiet connections that are closed when it is reached.
+//! The limit on open client connections, and the choice of the connections that are evicted when it is reached.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -7,38 +7,38 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Connections allowed beyond the limit: those that are being rejected, and those that are evicted and still linger.
-/// Their descriptors are a part of those that the process reserves beside the limit.
-const MAX_OVER_LIMIT: usize = 24;
-/// How long a connection may take to its first message before it may be evicted: clients that connect and send nothing
-/// would otherwise hold all connections for ever.
+/// Maximum number of connections beyond the limit: connections that are being rejected, and evicted ones that are still
+/// lingering. The descriptors for them are part of those that the process reserves in addition to the limit.
+const MAX_CONNECTIONS_OVER_LIMIT: usize = 24;
+/// How long a connection may wait for its client during startup before it may be evicted. Clients that connect and send
+/// nothing would otherwise hold all connections for ever.
 const STARTING_GRACE: Duration = Duration::from_millis(500);
-/// How long a connection may be idle between two requests before it may be evicted, as the platform specifies:
-/// clients that send one request and stay would otherwise hold all connections for ever.
+/// How long a connection may be idle between two requests before it may be evicted, as the platform specifies. Clients
+/// that send one request and stay connected would otherwise hold all connections for ever.
 const IDLE_GRACE: Duration = Duration::from_secs(2);
-/// How long it may be idle while more connections are open than usual. The platform lets clients hold a third of a
-/// gateway's descriptors: a crowd that sends one request each and stays would leave none for clients that send request
-/// after request.
+/// How long a connection may be idle while more connections than usual are open. The platform lets clients hold a third
+/// of a gateway's descriptors: many clients that each send one request and stay connected would leave none for clients
+/// that send one request after another.
 const CROWDED_IDLE_GRACE: Duration = Duration::from_millis(150);
-/// How often [`ConnectionLimit::close_longest_quiet`] is called: short against [`CROWDED_IDLE_GRACE`].
-pub const QUIET_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Interval between two calls of [`ConnectionLimit::evict_longest_idle`]: short compared with [`CROWDED_IDLE_GRACE`].
+pub const IDLE_EVICTION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a connection waits while its client waits for nothing.
+/// Why a connection may be evicted: its client is not waiting for an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum QuietKind {
-    /// Its client has been sent the reason why it ends, and the connection stays open only until that has arrived: it no
-    /// longer counts towards the limit.
-    Leaving,
+pub enum WaitKind {
+    /// The connection is being rejected or closed, and stays open only until the client has received the last message.
+    /// It no longer counts towards the limit.
+    Closing,
     /// The client has not completed its startup yet.
     Starting,
-    /// The connection is between two requests.
+    /// The connection is idle between two requests.
     Idle,
 }
 
-/// Orders the waits by kind, and within a kind by the time at which they began.
+/// Orders waiting connections by kind and, within a kind, by the time at which the wait began.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct WaitKey {
-    kind: QuietKind,
+    kind: WaitKind,
     sequence: u64,
 }
 
@@ -46,22 +46,22 @@
 struct WaitEntry {
     since: Instant,
     counted: Rc<Cell<bool>>,
-    /// Dropped to evict the connection.
-    _evict: oneshot::Sender<()>,
+    /// Dropping this sender evicts the connection.
+    _evict_sender: oneshot::Sender<()>,
 }
 
 /// The limit on all client connections of a gateway.
 pub struct ConnectionLimit {
-    /// The greatest number of connections that count, over all processes of this gateway.
+    /// Maximum number of connections that count towards the limit, over all processes of this gateway.
     limit: usize,
-    /// Above this number of connections, idle ones are evicted sooner.
-    usual: usize,
-    /// Descriptors that another process of this gateway needs for its clients and itself, during a hot restart.
+    /// Number of connections above which idle ones are evicted sooner.
+    crowding_threshold: usize,
+    /// Descriptors that another process of this gateway uses for its clients and itself during a hot restart.
     other_process_descriptors: Cell<usize>,
-    /// Connections that count towards the limit.
-    counted: Cell<usize>,
-    /// All connections, with those that are being rejected or have been evicted.
-    open: Cell<usize>,
+    /// Number of connections that count towards the limit.
+    counted_connections: Cell<usize>,
+    /// Number of all open connections, including those that are being rejected or have been evicted.
+    open_connections: Cell<usize>,
     waits: RefCell<BTreeMap<WaitKey, WaitEntry>>,
     next_sequence: Cell<u64>,
 }
@@ -69,13 +69,14 @@
 /// The permit of one connection, released when it is dropped.
 pub struct ConnectionPermit {
     connection_limit: Rc<ConnectionLimit>,
-    /// Whether the connection counts towards the limit: it was accepted within it, and has not been evicted since.
+    /// Whether the connection counts towards the limit. It does if it was accepted within the limit and has neither
+    /// been evicted nor begun to close since.
     counted: Rc<Cell<bool>>,
-    /// The limit was reached: the connection is to be rejected.
+    /// Whether the limit was already reached, so that the connection has to be rejected.
     pub over_limit: bool,
 }
 
-/// The time in which a connection may be evicted, which ends when this is dropped.
+/// A period during which a connection may be evicted. It ends when this is dropped.
 pub struct EvictableWait<'a> {
     connection_limit: &'a ConnectionLimit,
     key: WaitKey,
@@ -83,59 +84,60 @@
 }
 
 impl ConnectionLimit {
-    /// A limit of `limit` connections, of which `usual` are open on usual days.
-    pub fn new(limit: usize, usual: usize) -> Rc<Self> {
+    /// Creates a limit of `limit` connections. While more than `crowding_threshold` of them are open, idle ones are
+    /// evicted sooner.
+    pub fn new(limit: usize, crowding_threshold: usize) -> Rc<Self> {
         Rc::new(ConnectionLimit {
             limit,
-            usual,
+            crowding_threshold,
             other_process_descriptors: Cell::new(0),
-            counted: Cell::new(0),
-            open: Cell::new(0),
+            counted_connections: Cell::new(0),
+            open_connections: Cell::new(0),
             waits: RefCell::default(),
             next_sequence: Cell::new(0),
         })
     }
 
-    /// The number of connections that are open now.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_connections.get()
     }
 
-    /// Sets the descriptors that another process of this gateway needs for its clients and itself: they count towards
-    /// the limit of this one.
+    /// Sets the number of descriptors that another process of this gateway uses for its clients and itself. They reduce
+    /// the limit of this process.
     pub fn set_other_process_descriptors(&self, descriptors: usize) {
         self.other_process_descriptors.set(descriptors);
     }
 
-    /// What the other process leaves of the limit.
-    fn own_limit(&self) -> usize {
+    /// Returns the part of the limit that is available to this process.
+    fn local_limit(&self) -> usize {
         self.limit
             .saturating_sub(self.other_process_descriptors.get())
     }
 
-    /// Whether the limit is reached, so that a new connection is accepted only if another is evicted.
+    /// Returns whether the limit is reached, so that a new connection is accepted only if another one is evicted.
     pub fn is_full(&self) -> bool {
-        self.counted.get() >= self.own_limit()
+        self.counted_connections.get() >= self.local_limit()
     }
 
-    /// A permit for a new connection, if need be that of the connection that has been quiet longest. None where even
-    /// the number of connections beyond the limit is used up.
+    /// Returns a permit for a new connection, evicting the connection that has been waiting longest if necessary.
+    /// Returns `None` if even the connections beyond the limit are used up.
     pub fn acquire(self: &Rc<Self>) -> Option<ConnectionPermit> {
-        if self.open.get() >= self.own_limit() + MAX_OVER_LIMIT
-            && !self.evict_first(QuietKind::Leaving, Duration::ZERO)
+        if self.open_connections.get() >= self.local_limit() + MAX_CONNECTIONS_OVER_LIMIT
+            && !self.evict_longest_waiting(WaitKind::Closing, Duration::ZERO)
         {
             return None;
         }
-        // One eviction may not be enough: a connection that was evicted before, and was served once more since, no
-        // longer counts.
+        // One eviction may not be enough: a connection that was evicted earlier, and has served one more request since,
+        // no longer counts, so that evicting it again frees nothing.
         while self.is_full()
-            && (self.evict_first(QuietKind::Starting, STARTING_GRACE)
-                || self.evict_first(QuietKind::Idle, IDLE_GRACE))
+            && (self.evict_longest_waiting(WaitKind::Starting, STARTING_GRACE)
+                || self.evict_longest_waiting(WaitKind::Idle, IDLE_GRACE))
         {}
         let over_limit = self.is_full();
-        self.counted
-            .set(self.counted.get() + usize::from(!over_limit));
-        self.open.set(self.open.get() + 1);
+        self.counted_connections
+            .set(self.counted_connections.get() + usize::from(!over_limit));
+        self.open_connections.set(self.open_connections.get() + 1);
         Some(ConnectionPermit {
             connection_limit: Rc::clone(self),
             counted: Rc::new(Cell::new(!over_limit)),
@@ -143,56 +145,57 @@
         })
     }
 
-    /// While more connections are open than usual, evicts those that have been idle longest.
-    pub fn close_longest_quiet(&self) {
-        while self.counted.get() > self.usual
-            && self.evict_first(QuietKind::Idle, CROWDED_IDLE_GRACE)
+    /// Evicts the connections that have been idle longest, while more connections than usual are open.
+    pub fn evict_longest_idle(&self) {
+        while self.counted_connections.get() > self.crowding_threshold
+            && self.evict_longest_waiting(WaitKind::Idle, CROWDED_IDLE_GRACE)
         {}
     }
 
-    /// Evicts the connection of this kind that has been quiet longest, if that is at least `grace`, and says whether it
-    /// did.
-    fn evict_first(&self, kind: QuietKind, grace: Duration) -> bool {
+    /// Evicts the connection that has been waiting longest in this state, if that is at least `grace`, and returns
+    /// whether it did.
+    fn evict_longest_waiting(&self, kind: WaitKind, grace: Duration) -> bool {
         let mut waits = self.waits.borrow_mut();
         let all_of_kind = WaitKey { kind, sequence: 0 }..=WaitKey {
             kind,
             sequence: u64::MAX,
         };
-        let first = waits.range(all_of_kind).next();
-        let due = first
+        let longest_waiting = waits.range(all_of_kind).next();
+        let due_key = longest_waiting
             .filter(|(_, wait)| wait.since.elapsed() >= grace)
             .map(|(&key, _)| key);
-        let Some(evicted) = due.and_then(|key| waits.remove(&key)) else {
+        let Some(evicted) = due_key.and_then(|key| waits.remove(&key)) else {
             return false;
         };
-        // Its permit is free from now on; the connection itself learns of it when the sender is dropped.
-        self.release(&evicted.counted);
+        // The permit is available from now on. The connection is notified when the sender is dropped.
+        self.stop_counting(&evicted.counted);
         true
     }
 
-    /// Takes a connection off the count, unless that has been done before.
-    fn release(&self, counted: &Cell<bool>) {
+    /// Stops counting a connection towards the limit, unless that was done before.
+    fn stop_counting(&self, counted: &Cell<bool>) {
         let was_counted = counted.replace(false);
-        self.counted
-            .set(self.counted.get() - usize::from(was_counted));
+        self.counted_connections
+            .set(self.counted_connections.get() - usize::from(was_counted));
     }
 }
 
 impl ConnectionPermit {
-    /// Lets the connection be evicted until the result is dropped: its client waits for nothing.
-    pub fn wait_quietly(&self, kind: QuietKind) -> EvictableWait<'_> {
+    /// Allows the connection to be evicted until the result is dropped. Must be called only while its client waits for
+    /// no answer.
+    pub fn allow_eviction(&self, kind: WaitKind) -> EvictableWait<'_> {
         let connection_limit = &*self.connection_limit;
-        if kind == QuietKind::Leaving {
-            connection_limit.release(&self.counted);
+        if kind == WaitKind::Closing {
+            connection_limit.stop_counting(&self.counted);
         }
         let sequence = connection_limit.next_sequence.get();
         connection_limit.next_sequence.set(sequence + 1);
         let key = WaitKey { kind, sequence };
-        let (evict, evicted) = oneshot::channel();
+        let (evict_sender, evicted) = oneshot::channel();
         let entry = WaitEntry {
             since: Instant::now(),
             counted: Rc::clone(&self.counted),
-            _evict: evict,
+            _evict_sender: evict_sender,
         };
         connection_limit.waits.borrow_mut().insert(key, entry);
         EvictableWait {
@@ -206,7 +209,7 @@
 impl EvictableWait<'_> {
     /// Returns once the connection is evicted.
     pub async fn evicted(&mut self) {
-        // The sender is dropped and never sends: an error is the signal.
+        // The sender never sends a value. Dropping it is the signal, which the receiver reports as an error.
         let _ = (&mut self.evicted).await;
     }
 }
@@ -219,9 +222,9 @@
 
 impl Drop for ConnectionPermit {
     fn drop(&mut self) {
-        self.connection_limit.release(&self.counted);
+        self.connection_limit.stop_counting(&self.counted);
         self.connection_limit
-            .open
-            .set(self.connection_limit.open.get() - 1);
+            .open_connections
+            .set(self.connection_limit.open_connections.get() - 1);
     }
 }
--- a/src/net/downstream/dropped_input.rs
+++ b/src/net/downstream/dropped_input.rs
@@ -1,137 +1,139 @@
-//! Messages of a client that there is no room for. They are dropped while they arrive, and only counted: each query gets a
-//! rejection when its turn comes, and the client's end behind them is seen at once.
+//! Messages that are dropped because no memory is available for them. They are only counted while they arrive: each
+//! query is rejected in its turn, and the gateway still notices at once when the client disconnects.
 
 use crate::net::pg;
 
-/// A client of whose input more than this is dropped, in bytes, floods: it is read at a limited rate, so that it does not use
-/// up the processor.
+/// Number of dropped bytes from which a client counts as flooding. It is then read at a limited rate, so that it does
+/// not use up the processor.
 const FLOOD_SIZE: usize = 16 * pg::MAX_MESSAGE_SIZE;
 
-/// What follows in the order of the dropped messages.
+/// The next dropped message, in the order of arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DroppedMessage {
-    /// A query.
+    /// A complete query.
     Query,
-    /// A message that has not arrived whole: so many bytes are missing to the next thing that is known of it.
+    /// An incomplete message, with the number of bytes `missing` from its header or, once the header is complete, from
+    /// its body.
     Incomplete { missing: usize },
-    /// The client ends the connection.
+    /// A Terminate message: the client ends the connection.
     Terminate,
-    /// A message that breaks the protocol, or one of the extended query protocol, which is not supported.
+    /// A message that violates the protocol, or one that is neither a simple query nor Terminate and therefore not
+    /// supported here.
     Violation,
 }
 
-/// The message that ends the connection.
+/// A message that ends the connection, so that later input is ignored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum LastMessage {
+enum FinalMessage {
     Terminate,
     Violation,
 }
 
-/// The dropped messages that have had no answer yet.
+/// The dropped messages that have not been processed yet.
 #[derive(Debug, Default)]
 pub(super) struct DroppedInput {
-    /// Whole queries.
+    /// Number of complete queries.
     queries: usize,
-    /// The beginning of the message behind them, as far as its header.
-    header: Vec<u8>,
-    /// Bytes of that message's body that have not arrived.
-    missing_body: usize,
-    /// What stands behind the queries and ends the connection; nothing behind it counts.
-    last: Option<LastMessage>,
-    /// Bytes that were dropped since there last was nothing.
-    dropped: usize,
+    /// The bytes received so far of the header of the message behind the queries.
+    partial_header: Vec<u8>,
+    /// Number of bytes of that message's body that have not arrived.
+    missing_body_bytes: usize,
+    /// The message behind the queries that ends the connection, if it has arrived. All input behind it is ignored.
+    final_message: Option<FinalMessage>,
+    /// Number of bytes that were dropped since the last time that no dropped message was waiting.
+    dropped_bytes: usize,
 }
 
 impl DroppedInput {
-    /// Whether there is anything that has had no answer, or is not whole.
+    /// Returns whether there is any unprocessed message, complete or not.
     pub(super) fn is_active(&self) -> bool {
-        self.queries > 0 || !self.header.is_empty() || self.last.is_some()
+        self.queries > 0 || !self.partial_header.is_empty() || self.final_message.is_some()
     }
 
-    /// Whether the client floods.
-    pub(super) fn is_flood(&self) -> bool {
-        self.dropped >= FLOOD_SIZE
+    /// Returns whether the client counts as flooding.
+    pub(super) fn is_flooding(&self) -> bool {
+        self.dropped_bytes >= FLOOD_SIZE
     }
 
-    /// The whole queries among the messages.
+    /// Returns the number of complete queries.
     pub(super) fn queries(&self) -> usize {
         self.queries
     }
 
-    /// Drops the next bytes.
+    /// Parses the next received bytes, counts the messages in them and drops them.
     pub(super) fn drop_bytes(&mut self, bytes: &[u8]) {
-        self.dropped += bytes.len();
-        let mut rest = bytes;
-        while !rest.is_empty() && self.last.is_none() {
-            let taken = if self.missing_body > 0 {
-                self.drop_body(rest)
+        self.dropped_bytes += bytes.len();
+        let mut remaining = bytes;
+        while !remaining.is_empty() && self.final_message.is_none() {
+            let consumed = if self.missing_body_bytes > 0 {
+                self.drop_body(remaining)
             } else {
-                self.take_header(rest)
+                self.append_header(remaining)
             };
-            rest = &rest[taken..];
+            remaining = &remaining[consumed..];
         }
     }
 
-    /// What follows; a query is taken by it.
+    /// Returns the next dropped message. A query is removed; other messages are returned again by the next call.
     pub(super) fn next(&mut self) -> Option<DroppedMessage> {
         if self.queries > 0 {
             self.queries -= 1;
             self.reset_if_done();
             return Some(DroppedMessage::Query);
         }
-        match self.last {
-            Some(LastMessage::Terminate) => Some(DroppedMessage::Terminate),
-            Some(LastMessage::Violation) => Some(DroppedMessage::Violation),
-            None if self.missing_body > 0 => Some(DroppedMessage::Incomplete {
-                missing: self.missing_body,
+        match self.final_message {
+            Some(FinalMessage::Terminate) => Some(DroppedMessage::Terminate),
+            Some(FinalMessage::Violation) => Some(DroppedMessage::Violation),
+            None if self.missing_body_bytes > 0 => Some(DroppedMessage::Incomplete {
+                missing: self.missing_body_bytes,
             }),
-            None if !self.header.is_empty() => Some(DroppedMessage::Incomplete {
-                missing: pg::HEADER_SIZE - self.header.len(),
+            None if !self.partial_header.is_empty() => Some(DroppedMessage::Incomplete {
+                missing: pg::HEADER_SIZE - self.partial_header.len(),
             }),
             None => None,
         }
     }
 
     fn drop_body(&mut self, bytes: &[u8]) -> usize {
-        let taken = self.missing_body.min(bytes.len());
-        self.missing_body -= taken;
-        if self.missing_body == 0 {
+        let consumed = self.missing_body_bytes.min(bytes.len());
+        self.missing_body_bytes -= consumed;
+        if self.missing_body_bytes == 0 {
             self.finish_query();
         }
-        taken
+        consumed
     }
 
-    fn take_header(&mut self, bytes: &[u8]) -> usize {
-        let taken = (pg::HEADER_SIZE - self.header.len()).min(bytes.len());
-        self.header.extend_from_slice(&bytes[..taken]);
-        if self.header.len() == pg::HEADER_SIZE {
+    fn append_header(&mut self, bytes: &[u8]) -> usize {
+        let consumed = (pg::HEADER_SIZE - self.partial_header.len()).min(bytes.len());
+        self.partial_header.extend_from_slice(&bytes[..consumed]);
+        if self.partial_header.len() == pg::HEADER_SIZE {
             self.begin_message();
         }
-        taken
+        consumed
     }
 
-    /// The header of a message is complete.
+    /// Handles a complete header: begins the body of a query, or records the message that ends the connection.
     fn begin_message(&mut self) {
-        let size = pg::message_size(&self.header).unwrap_or_default();
-        match (pg::frame(&self.header), self.header[0]) {
-            (Err(_), _) => self.last = Some(LastMessage::Violation),
-            (Ok(_), pg::tag::TERMINATE) => self.last = Some(LastMessage::Terminate),
+        let size = pg::message_size(&self.partial_header).unwrap_or_default();
+        match (pg::frame(&self.partial_header), self.partial_header[0]) {
+            (Err(_), _) => self.final_message = Some(FinalMessage::Violation),
+            (Ok(_), pg::tag::TERMINATE) => self.final_message = Some(FinalMessage::Terminate),
             (Ok(_), pg::tag::QUERY) if size > pg::HEADER_SIZE => {
-                self.missing_body = size - pg::HEADER_SIZE;
+                self.missing_body_bytes = size - pg::HEADER_SIZE;
             }
             (Ok(_), pg::tag::QUERY) => self.finish_query(),
-            (Ok(_), _) => self.last = Some(LastMessage::Violation),
+            (Ok(_), _) => self.final_message = Some(FinalMessage::Violation),
         }
     }
 
     fn finish_query(&mut self) {
-        self.header.clear();
+        self.partial_header.clear();
         self.queries += 1;
     }
 
     fn reset_if_done(&mut self) {
         if !self.is_active() {
-            self.dropped = 0;
+            self.dropped_bytes = 0;
         }
     }
 }
