--- a/src/bin/irisrouter-sim-adapter.rs
+++ b/src/bin/irisrouter-sim-adapter.rs
@@ -1,18 +1,18 @@
-//! Runs the router on the simulator's wire: one line in, one line out.
+//! Connects the router to the simulator: answers each line of JSON on standard input with one line on standard output.
 
 use irisrouter::simulator::{Adapter, AdapterError};
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 use thiserror::Error;
 
-/// Why the program ends before its input does.
+/// An error that ends the program before the end of its input.
 #[derive(Debug, Error)]
 enum Failure {
-    #[error("cannot read: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
     #[error(transparent)]
     Line(#[from] AdapterError),
-    #[error("cannot write: {0}")]
+    #[error("cannot write to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! A gateway in front of sets of a primary and its replicas.
+//! A gateway in front of groups of database hosts, each a primary with its replicas.
 //!
 //! The program reads its configuration, starts, serves clients until SIGTERM or SIGINT, and shuts down. Each of these
 //! steps is a module of [`net::lifecycle`].
@@ -36,7 +36,8 @@
 }
 
 async fn run(config: Config) -> Result<(), GatewayError> {
-    // Signals are caught before the listener is bound: a SIGTERM during the start is then a planned shutdown.
+    // The signal handlers are installed before the listener is bound, so that a SIGTERM during the start leads to a
+    // planned shutdown.
     let signals = Signals::catch()?;
     let gateway = Gateway::start(config, signals.operator).await?;
     gateway.run_until_terminated(signals.termination).await
--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -7,34 +7,34 @@
 use std::num::ParseIntError;
 use thiserror::Error;
 
-/// Why a configuration cannot be used.
+/// Why the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The environment names no configuration file.
+    /// The environment variable that names the configuration file is not set.
     #[error("BALANCER_CONFIG is not set")]
     FileNotNamed,
     /// The configuration file cannot be read.
     #[error("cannot read {path}: {source}")]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The configuration file is no JSON object of the expected form.
+    /// The configuration file is not a JSON object of the expected form.
     #[error("{path}: {source}")]
     Malformed {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// What is expected, and where.
+        /// The parser's error: what was expected, and where.
         source: serde_json::Error,
     },
-    /// A value of the configuration file, or of a variable that takes its place, cannot be used.
+    /// A value of the configuration file, or of an environment variable that overrides it, cannot be used.
     #[error("{path}: {source}")]
     Invalid {
-        /// The file.
+        /// Path of the file.
         path: String,
-        /// Which value, and why.
+        /// Which value cannot be used, and why.
         source: ConfigFileError,
     },
     /// The operators' file cannot be used.
@@ -43,7 +43,7 @@
 }
 
 impl ConfigError {
-    /// An unusable value in the file at `path`.
+    /// Returns the error for an unusable value in the file at `path`.
     pub fn invalid(path: &str, source: ConfigFileError) -> Self {
         Self::Invalid {
             path: path.to_string(),
@@ -55,49 +55,50 @@
 /// Why a value of the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigFileError {
-    /// A required address is given nowhere.
+    /// A required address is neither in the environment nor in the file.
     #[error("no address: neither {variable} nor the configuration has one")]
     AddressMissing {
-        /// The variable that could name it.
+        /// The environment variable that can set the address.
         variable: &'static str,
     },
     /// An address cannot be parsed.
     #[error("{name}: {text}: {source}")]
     AddressMalformed {
-        /// The variable or key of the address.
+        /// The environment variable or key of the address.
         name: &'static str,
-        /// What stands there.
+        /// The value of the variable or key.
         text: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: AddrParseError,
     },
-    /// The random seed is no hexadecimal number of 64 bits.
+    /// The random seed is not a hexadecimal number of at most 64 bits.
     #[error("seed {text}: {source}")]
     Seed {
-        /// What stands there.
+        /// The value of the key.
         text: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: ParseIntError,
     },
     /// The platform's settings cannot be used.
     #[error("settings: {0}")]
     Settings(#[source] Box<dyn StdError>),
-    /// A reloaded file lacks a key that the old one has.
+    /// The reloaded file lacks a key that the file before it had.
     #[error("{0} is missing")]
     KeyMissing(String),
-    /// The addresses of the gateways are no list of addresses.
+    /// The value of `peers` is not a list of addresses.
     #[error("peers: {0}")]
     PeersMalformed(#[source] serde_json::Error),
-    /// The list of gateways does not fit the platform's settings.
+    /// The number of addresses in `peers` differs from the number of gateways in the platform's settings, or this
+    /// gateway's number is not an index into the list.
     #[error(
         "peers: {addresses} addresses for {gateways} gateways, this one's number is {local_number}"
     )]
     PeersInconsistent {
-        /// Addresses in the list.
+        /// Number of addresses in the list.
         addresses: usize,
-        /// Gateways by the platform's settings.
+        /// Number of gateways in the platform's settings.
         gateways: u32,
-        /// The number of this gateway.
+        /// The number of this gateway, which is its index into the list.
         local_number: u32,
     },
 }
--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file as it is written.
+//! The configuration file: its keys, and the checks of its values.
 
 use crate::net::config::missing_key::find_missing_key;
 use crate::net::config::{ConfigError, ConfigFileError};
@@ -10,17 +10,17 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// The random seed is written as a hexadecimal number.
+/// Radix of the random seed, which the file has as a hexadecimal number.
 const SEED_RADIX: u32 = 16;
 
 /// The addresses by which gateways exchange datagrams.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Peers {
-    /// Where this gateway listens.
+    /// The address on which this gateway receives datagrams.
     pub listen_address: SocketAddr,
-    /// Where a datagram for all gateways is sent.
+    /// The address to which a datagram for all gateways is sent.
     pub broadcast_address: SocketAddr,
-    /// From where each gateway sends, by its number.
+    /// The address of each gateway, indexed by the gateway's number.
     pub gateway_addresses: Vec<SocketAddr>,
     /// The number of this gateway.
     pub local_gateway: GatewayId,
@@ -28,9 +28,9 @@
 
 /// The configuration file.
 ///
-/// The texts of its errors contain this name and depend on the order of the fields. Operators know these texts, so
-/// neither changes; other modules call it `ConfigFile`. Serde's `rename` does not reach these texts, and `expecting`
-/// changes the one for a list in place of an object.
+/// Serde's error texts contain the name of this struct and depend on the order of its fields. Operators know these
+/// texts, so the name and the order must not change; other modules use the alias `ConfigFile`. Serde's `rename` does
+/// not change the name in these texts, and `expecting` would also change the text for a list in place of an object.
 #[derive(Deserialize)]
 pub struct File {
     #[serde(rename = "peer_listen")]
@@ -47,18 +47,18 @@
     seed: String,
     #[serde(default)]
     pub(super) limits: Limits,
-    /// The endpoint list as this gateway last had it.
+    /// The endpoint list that this gateway last had, which it uses until discovery answers.
     #[serde(default, rename = "known")]
     pub known_endpoints: EndpointList,
     pub(super) settings: Value,
 }
 
-/// What the process may use.
+/// Resources that the process may use.
 #[derive(Default, Deserialize, PartialEq)]
 pub(super) struct Limits {
-    /// Memory in mebibytes.
+    /// Memory for messages, in mebibytes.
     pub(super) memory_mb: Option<usize>,
-    /// Descriptors.
+    /// Number of descriptors.
     pub(super) sockets: Option<usize>,
 }
 
@@ -92,8 +92,10 @@
             .unwrap_or(false)
     }
 
-    /// The addresses of the gateways, where the platform lets them share health checks or membership is on. A file in
-    /// which they cannot be read starts a gateway that works alone, and logs it.
+    /// Returns the addresses of the gateways if the platform lets gateways share health checks or membership is on.
+    ///
+    /// Returns `None` if the file lacks the addresses or they cannot be used: the gateway then starts without the other
+    /// gateways. Unusable addresses are logged.
     pub(super) fn peers(&self, platform: &PlatformSettings, membership: bool) -> Option<Peers> {
         if !platform.shares_health_checks && !membership {
             return None;
@@ -130,8 +132,8 @@
         })
     }
 
-    /// The first key that this file has and `new` lacks: a file that was cut or edited wrongly may still be JSON, and
-    /// there may be a default for what is gone.
+    /// Returns the first key that this file has and `new` lacks. A file that was truncated or edited wrongly may still
+    /// be valid JSON, and a default could silently replace the missing value.
     pub(super) fn first_key_missing_in(&self, new: &Self) -> Option<String> {
         let no_limits = Limits::default();
         let lost = [
@@ -152,7 +154,7 @@
             .or_else(|| find_missing_key(&self.settings, &new.settings))
     }
 
-    /// The keys whose values differ in `new` and are read only when a process starts.
+    /// Returns the keys whose values differ in `new` and take effect only when a process starts.
     pub(super) fn keys_that_require_restart(&self, new: &Self) -> Vec<&'static str> {
         let differences = [
             ("name", self.name != new.name),
@@ -170,7 +172,7 @@
     }
 }
 
-/// Parses an address; `name` is its variable or key.
+/// Parses an address. `name` is its environment variable or key, for the error text.
 pub(super) fn parse_address(name: &'static str, text: &str) -> Result<SocketAddr, ConfigFileError> {
     text.parse()
         .map_err(|source| ConfigFileError::AddressMalformed {
--- a/src/net/config/missing_key.rs
+++ b/src/net/config/missing_key.rs
@@ -1,10 +1,10 @@
-//! Comparison of two settings objects by their keys.
+//! Compares the keys of two settings objects.
 
 use irisrouter::platform_settings::OPTIONAL;
 use serde_json::{Map, Value};
 
-/// A key that `old` has and `new` lacks, at any depth. Each entry of a list of objects must have the keys of the first
-/// entry of the old list.
+/// Returns the first key, at any depth, that `old` has and `new` lacks. In a list of objects, each entry of the new
+/// list must have the keys of the first entry of the old list.
 pub fn find_missing_key(old: &Value, new: &Value) -> Option<String> {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => find_in_object(old, new),
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -1,4 +1,4 @@
-//! What the platform tells a gateway: environment variables and the configuration file.
+//! The configuration of a gateway: environment variables, the platform's configuration file and the operators' file.
 
 mod error;
 mod file;
@@ -14,37 +14,37 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Names the configuration file.
+/// Path of the configuration file.
 const CONFIG_FILE_VARIABLE: &str = "BALANCER_CONFIG";
 /// The gateway's name, for its log.
 const NAME_VARIABLE: &str = "BALANCER_NAME";
-/// Where clients connect.
+/// The address on which clients connect.
 const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
-/// Where discovery answers. A reloaded file takes precedence over it.
+/// The address of discovery. The address in a reloaded file takes precedence over it.
 const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
-/// Where the console listens.
+/// The address on which the console listens.
 const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
-/// Set where the platform holds the clients' listening socket and every process of the gateway inherits it.
+/// Set if the platform holds the clients' listening socket and every process of the gateway inherits it.
 const INHERITED_SOCKET_VARIABLE: &str = "BALANCER_PASSED_SOCKET";
-/// The directory that all processes of the gateway share.
+/// The directory shared by all processes of the gateway.
 const SHARED_DIRECTORY_VARIABLE: &str = "TMPDIR";
-/// The Unix socket in that directory at which an older process hands over to a newer one. All versions have to agree on
-/// this name.
+/// Name of the Unix socket in the shared directory at which an older process hands over to a newer one. All versions of
+/// the program use this name.
 const HOT_RESTART_SOCKET: &str = "irisrouter.sock";
 
-/// Descriptors that the platform gives a gateway at most, and where the configuration names no limit.
+/// Maximum number of descriptors that the platform gives a gateway; also the default if the file has no limit.
 const DEFAULT_DESCRIPTOR_LIMIT: usize = 1024;
-/// Memory in mebibytes that the platform gives a gateway at most, and where the configuration names no limit.
+/// Maximum memory that the platform gives a gateway, in mebibytes; also the default if the file has no limit.
 const DEFAULT_MEMORY_LIMIT_MB: usize = 192;
-/// Bytes in a mebibyte, as a shift.
+/// Shift that converts mebibytes to bytes.
 const MEBIBYTE_SHIFT: u32 = 20;
 
 /// Where the clients' listening socket comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerSource {
-    /// This process binds it and is the only one that holds it.
+    /// This process binds the socket and is the only one that holds it.
     Bound,
-    /// The platform holds it, and passes it to each process of the gateway.
+    /// The platform holds the socket and passes it to each process of the gateway.
     Inherited,
 }
 
@@ -52,47 +52,47 @@
 pub struct Config {
     /// The gateway's name, for its log.
     pub name: String,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub listen_address: SocketAddr,
-    /// Where discovery answers at the start.
+    /// The address of discovery when the process starts.
     pub discovery_address: SocketAddr,
-    /// Where the console listens, if anywhere.
+    /// The address on which the console listens, or `None` if there is no console.
     pub console_address: Option<SocketAddr>,
     /// Where the clients' listening socket comes from.
     pub listener_source: ListenerSource,
-    /// The Unix socket of the hand-over between versions, where the listener is inherited and a directory is shared.
+    /// Path of the Unix socket for hot restarts, or `None` if the listener is not inherited or no directory is shared.
     pub hot_restart_socket: Option<PathBuf>,
-    /// The gateways of the fleet, where they may exchange datagrams.
+    /// The gateways of the fleet, if they may exchange datagrams.
     pub peers: Option<Peers>,
-    /// The operators' file, or its defaults.
+    /// The settings of the operators' file, or its defaults.
     pub operators: OperatorConfig,
-    /// Descriptors that the process may hold.
+    /// Maximum number of descriptors that the process may hold.
     pub descriptor_limit: usize,
-    /// Memory that messages are budgeted from, in bytes.
+    /// Memory limit from which the budget for messages is derived, in bytes.
     pub memory_limit: usize,
     /// The platform's settings.
     pub platform: PlatformSettings,
-    /// The file as it was read.
+    /// The configuration file in force.
     pub file: ConfigFile,
     path: String,
 }
 
-/// What a reloaded file changes in a running gateway, and what it does not.
+/// The values of a reloaded file that apply to a running gateway, and the keys that do not.
 pub struct ReloadedConfig {
-    /// Where discovery answers from now on, if the file says so.
+    /// The new address of discovery, if the file has one.
     pub discovery_address: Option<SocketAddr>,
-    /// The platform's settings from now on.
+    /// The new settings of the platform.
     pub platform: PlatformSettings,
-    /// Keys of the file whose values differ from those in force, and are used only by the next process.
+    /// Keys of the file whose values differ from those in force and take effect only when the next process starts.
     pub requires_restart: Vec<&'static str>,
 }
 
 impl Config {
-    /// Reads the environment through `variable`, and the files that it names.
+    /// Reads the environment variables, with `variable` as the look-up, and the files that they name.
     ///
     /// # Errors
     ///
-    /// A variable or file is missing or cannot be used.
+    /// Returns an error if a variable or file is missing or cannot be used.
     pub fn load(variable: impl Fn(&str) -> Option<String>) -> Result<Self, ConfigError> {
         let path = variable(CONFIG_FILE_VARIABLE).ok_or(ConfigError::FileNotNamed)?;
         let file = ConfigFile::read(&path)?;
@@ -119,18 +119,18 @@
         })
     }
 
-    /// Whether clients mark their retries. Where they do not, any request may be one.
+    /// Returns whether clients mark their retries. If they do not, any request may be a retry.
     pub fn clients_mark_retries(&self) -> bool {
         self.file.clients_mark_retries()
     }
 
-    /// Reads the same file again. Its `discovery` takes precedence over the environment, which is as old as the
-    /// process. All of the file is checked first: one that could start no gateway, or lacks a key that the last one
-    /// had, changes nothing.
+    /// Reads the same file again. Its `discovery` takes precedence over the environment variable, which cannot have
+    /// changed since the process started. The whole file is checked before anything changes: a file with which no
+    /// gateway could start, or that lacks a key of the file before it, is rejected.
     ///
     /// # Errors
     ///
-    /// The file cannot be read or used; the old configuration stays in force.
+    /// Returns an error if the file cannot be read or used. The old configuration then stays in force.
     pub fn reload(&mut self) -> Result<ReloadedConfig, ConfigError> {
         let mut new = ConfigFile::read(&self.path)?;
         let invalid = |source| ConfigError::invalid(&self.path, source);
@@ -154,12 +154,12 @@
     }
 }
 
-/// The limit of the file, where it has one that is lower than the platform's.
+/// Returns the file's limit if it is lower than the platform's, otherwise the platform's.
 fn at_most(limit: Option<usize>, platform_limit: usize) -> usize {
     limit.unwrap_or(platform_limit).min(platform_limit)
 }
 
-/// The environment variables. Those that are empty count as not set, but for the name.
+/// The values of the environment variables. An empty variable counts as not set, except for the gateway's name.
 struct Environment {
     name: Option<String>,
     listen: Option<String>,
@@ -190,7 +190,7 @@
     }
 }
 
-/// Addresses that the environment and the file can both name; the environment takes precedence.
+/// The addresses that can be set both in the environment and in the file. The environment takes precedence.
 struct Addresses {
     listen: SocketAddr,
     discovery: SocketAddr,
--- a/src/net/config/operator_config.rs
+++ b/src/net/config/operator_config.rs
@@ -1,11 +1,12 @@
-//! The operators' file: settings of irisrouter that the platform's configuration does not carry, as a Jsonnet template
-//! that is checked against a schema.
+//! The operators' file: settings of irisrouter that are not part of the platform's configuration. It is a Jsonnet
+//! template that is checked against a schema.
 //!
-//! The file is read at start from the path in `IRISROUTER_OPERATORS`; without that variable every feature here is off
-//! and costs nothing. A file that cannot be read or does not pass its checks stops the start with the reason: an
-//! operator who asked for a feature must not get a gateway that silently runs without it.
+//! The file is read at start from the path in `IRISROUTER_OPERATORS`. Without that variable every feature here is off
+//! and costs nothing. If the file cannot be read or does not pass its checks, the gateway does not start and prints the
+//! reason: an operator who enabled a feature must not get a gateway that silently runs without it.
 //!
-//! The keys of the file are an interface to operators. Where a field here has another name, serde keeps the key.
+//! The keys of the file are an interface to operators. If a field here has another name, a serde attribute keeps the
+//! key.
 
 use irisrouter_cluster_types::Milliseconds;
 use irisrouter_config::{Checked, Problem, Variables};
@@ -17,24 +18,24 @@
 use std::path::Path;
 use thiserror::Error;
 
-/// The variable that names the file.
+/// Environment variable with the path of the operators' file.
 pub const FILE_VARIABLE: &str = "IRISROUTER_OPERATORS";
 
-/// Shortest period of pings in milliseconds: shorter ones would crowd the peer socket.
+/// Shortest ping period, in milliseconds: pings with a shorter period would overload the peer socket.
 const SHORTEST_PING_PERIOD_MS: u64 = 10;
-/// A fleet size for checks that do not depend on it: the smallest fleet with a peer.
+/// Fleet size for checks of values that do not depend on it: the smallest fleet in which a gateway has a peer.
 const SMALLEST_FLEET: u32 = 2;
 
-/// The whole file.
+/// The operators' file.
 #[derive(Debug, Clone, Default, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct OperatorConfig {
-    /// Which gateways are alive (`docs/membership.md`).
+    /// Membership: which gateways are alive (`docs/membership.md`).
     pub membership: MembershipConfig,
-    /// Leases, and what depends on them (`docs/takeover.md`).
+    /// Leases, and the features that depend on them (`docs/takeover.md`).
     #[serde(rename = "takeover")]
     pub leases: LeaseConfig,
-    /// Where the load of a lost site goes, and how the site is brought back (`docs/site-loss.md`).
+    /// Site failover: which sites serve the load of a lost site, and how the site recovers (`docs/site-loss.md`).
     #[serde(rename = "sites")]
     pub site_failover: SiteFailoverConfig,
 }
@@ -45,32 +46,33 @@
 pub struct SiteFailoverConfig {
     /// Off by default; needs leases.
     pub enabled: bool,
-    /// Requests of mean cost a second that a warm host of size one can serve.
+    /// Capacity of a warm host of size one, in requests of mean cost per second.
     pub capacity_per_s: f64,
-    /// For each zone, the zones that take its load, in order; zones that are not named come last.
+    /// For each zone, the zones that take over its load, in order of preference. Zones that are not listed come last.
     #[serde(rename = "prefer")]
     pub preferred_zones: BTreeMap<String, Vec<String>>,
-    /// Classes in the order in which they are shed; classes that are not named are never shed.
+    /// Classes in the order in which their requests are shed. Classes that are not listed are never shed.
     #[serde(rename = "refuse")]
     pub load_shedding_order: Vec<String>,
     /// The share of a zone's capacity that a plan uses, above 0 and at most 1.
     #[serde(rename = "budget")]
     pub capacity_share: f64,
-    /// A zone is lost once this share of its hosts, above 0 and at most 1, has been silent for `lost_after_ms`.
+    /// A zone counts as lost once this share of its hosts, above 0 and at most 1, has been silent for `lost_after_ms`.
     #[serde(rename = "lost_part")]
     pub lost_host_share: f64,
     /// How long hosts are silent before their zone counts as lost, in milliseconds.
     pub lost_after_ms: u64,
-    /// A lost zone is recovering once fewer than half of `lost_part` have been silent for this time, in milliseconds.
+    /// A lost zone counts as recovering after this time, in milliseconds, in which the share of silent hosts was less
+    /// than half of `lost_part`.
     #[serde(rename = "back_after_ms")]
     pub recovering_after_ms: u64,
-    /// A recovering zone starts with this share of its reads, above 0 and at most 1.
+    /// Share of its reads with which a recovering zone starts, above 0 and at most 1.
     #[serde(rename = "ramp_from")]
     pub recovery_ramp_start: f64,
-    /// A recovering zone has all of its reads after this time in which its hosts answered, in milliseconds.
+    /// A recovering zone has all of its reads again after its hosts have answered for this time, in milliseconds.
     #[serde(rename = "ramp_ms")]
     pub recovery_ramp_ms: u64,
-    /// A plan that is not renewed stays in force for this time, in milliseconds.
+    /// Time for which a plan stays in force without being renewed, in milliseconds.
     #[serde(rename = "stale_ms")]
     pub plan_expiry_ms: u64,
 }
@@ -95,11 +97,11 @@
 }
 
 impl SiteFailoverConfig {
-    /// The settings of the failover core, for the zones and classes of the platform's configuration.
+    /// Returns the settings of the failover core for the zones and classes of the platform's configuration.
     ///
     /// # Errors
     ///
-    /// A zone or class is not in the platform's configuration, or the core refuses a value.
+    /// Returns an error if a zone or class is not in the platform's configuration, or the core refuses a value.
     pub fn for_zones(
         &self,
         zones: &[String],
@@ -147,22 +149,24 @@
     })
 }
 
-/// Leases on top of membership, and the features that need a lease holder.
+/// Leases, which build on membership, and the features that need a lease holder.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct LeaseConfig {
     /// Off by default; needs membership.
     pub enabled: bool,
-    /// How long a holder keeps a lease without an answer from a majority of its voters, in milliseconds.
+    /// How long a holder keeps a lease without answers from a majority of its voters, in milliseconds.
     pub lease_ms: u64,
-    /// Health checks carry the lease and its fencing token in a comment, for hosts that refuse an older token. Other
-    /// hosts may not understand the statement.
+    /// Whether health checks carry the lease and its fencing token in an SQL comment, for hosts that refuse an older
+    /// token. Other hosts may not understand the statement.
     #[serde(rename = "fence")]
     pub fence_health_checks: bool,
-    /// Keyed writes are recorded at two other gateways before they are forwarded, and retries of them are looked up.
+    /// Whether keyed writes are recorded at two other gateways before they are forwarded, so that retries can be looked
+    /// up there.
     #[serde(rename = "writes")]
     pub write_intents: bool,
-    /// One gateway watches the endpoint list for all, where one discovery service answers all of them.
+    /// Whether one gateway watches the endpoint list for all. Takes effect only if one discovery service answers all
+    /// gateways.
     #[serde(rename = "list_watch")]
     pub shared_endpoint_watch: bool,
 }
@@ -179,16 +183,18 @@
     }
 }
 
-/// Membership by SWIM over the peer socket.
+/// Membership with the SWIM protocol over the peer socket.
 #[derive(Debug, Clone, PartialEq, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 pub struct MembershipConfig {
-    /// Off by default: the platform prices every datagram, and nothing that is on by default needs membership.
+    /// Off by default, because the platform charges for every datagram and no feature that is on by default needs
+    /// membership.
     pub enabled: bool,
-    /// One member is pinged each period, in milliseconds.
+    /// Period in which one member is pinged, in milliseconds.
     #[serde(rename = "probe_period_ms")]
     pub ping_period_ms: u64,
-    /// A pause of a process this long, in milliseconds, ends in suspicion and refutation instead of death.
+    /// Longest pause of a process, in milliseconds, after which it can still refute the suspicion and is not declared
+    /// dead.
     #[serde(rename = "stall_ms")]
     pub tolerated_pause_ms: u64,
 }
@@ -204,7 +210,7 @@
 }
 
 impl MembershipConfig {
-    /// The settings of the membership core for a fleet of this many gateways.
+    /// Returns the settings of the membership core for a fleet of this size.
     #[must_use]
     pub fn for_fleet(&self, fleet_size: u32) -> irisrouter_membership::Settings {
         irisrouter_membership::Settings::paced(
@@ -287,11 +293,11 @@
     /// The file names a zone or class that the platform's configuration does not have.
     #[error("/sites/{path}: the configuration has no {name}, only {}", .known.join(", "))]
     UnknownName {
-        /// Where in `sites` the name stands.
+        /// Path of the name within `sites`.
         path: String,
-        /// The name.
+        /// The unknown name.
         name: String,
-        /// The names that the configuration has.
+        /// The names in the platform's configuration.
         known: Vec<String>,
     },
     /// The settings of site failover are out of bounds.
@@ -299,11 +305,12 @@
     SiteFailover(#[source] Box<dyn StdError>),
 }
 
-/// Reads the file that [`FILE_VARIABLE`] names, or the defaults where it names none.
+/// Reads the file that [`FILE_VARIABLE`] names, or returns the defaults if the variable is not set or empty.
 ///
 /// # Errors
 ///
-/// The file cannot be read, evaluated or checked; the error names the file and each place with its reason.
+/// Returns an error if the file cannot be read, evaluated or checked. The error names the file, and the path and reason
+/// of each problem.
 pub fn load(
     variable: impl Fn(&str) -> Option<String>,
 ) -> Result<OperatorConfig, OperatorConfigError> {
--- a/src/net/lifecycle/cluster_startup.rs
+++ b/src/net/lifecycle/cluster_startup.rs
@@ -1,5 +1,5 @@
-//! Builds the services by which gateways cooperate, as far as the operators and the platform allow them. A service that
-//! is off costs nothing.
+//! Builds the services through which gateways cooperate: those that the operators have enabled and that the platform
+//! allows. A service that is off is not built, so it sends no datagrams and takes no time.
 
 use crate::net::cluster::drains::DrainService;
 use crate::net::cluster::endpoint_watch::EndpointWatchService;
@@ -18,17 +18,17 @@
 use irisrouter_site_failover::SiteIndex;
 use std::rc::Rc;
 
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 const NS_PER_S: i64 = 1_000_000_000;
-/// An odd constant with well mixed bits (2^64 divided by the golden ratio): gateways with neighbouring numbers that
-/// start in the same second get different random seeds.
+/// 2^64 divided by the golden ratio, made odd. Multiplying a gateway's number by it spreads neighbouring numbers over
+/// all bits, so that gateways that start in the same second get different random seeds.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Builds all services that are on.
+/// Builds all services that are enabled and allowed.
 ///
 /// # Errors
 ///
-/// Site failover is on and cannot be started.
+/// Returns an error if site failover is enabled and cannot be started.
 pub fn build_cluster_services(
     config: &Config,
     parts: &SharedParts,
@@ -49,7 +49,7 @@
     })
 }
 
-/// Membership, where the operators turned it on and the platform lets gateways send datagrams.
+/// Builds membership if the operators enabled it and the platform lets gateways exchange datagrams.
 fn membership(config: &Config, parts: &SharedParts) -> Option<Rc<MembershipService>> {
     let wanted = &config.operators.membership;
     let allowed = wanted.enabled && config.platform.peers_allowed;
@@ -69,7 +69,7 @@
     .map(Rc::new)
 }
 
-/// Leases, where the operators turned them on, membership is on and the platform allows health checks.
+/// Builds leases if the operators enabled them, membership is on and the platform allows health checks.
 fn leases(
     config: &Config,
     parts: &SharedParts,
@@ -90,7 +90,7 @@
     .map(Rc::new)
 }
 
-/// Write intents, where the operators turned them on and membership is on.
+/// Builds write intents if the operators enabled leases and write intents and membership is on.
 fn write_intents(
     config: &Config,
     parts: &SharedParts,
@@ -107,7 +107,7 @@
     )))
 }
 
-/// Drains of database hosts by the console, where leases are on.
+/// Builds the service that drains database hosts on request of the console, if leases are on.
 fn drains(
     config: &Config,
     parts: &SharedParts,
@@ -125,9 +125,11 @@
     )))
 }
 
-/// One watcher of the endpoint list for the fleet, where the operators turned it on, leases are on, and one discovery
-/// service answers all gateways. An agent on each machine is watched by each gateway: a change that the agent has
-/// counts as known to its gateway, whoever else watches.
+/// Builds the service that lets one gateway watch the endpoint list for the fleet, if the operators enabled it, leases
+/// are on, and one discovery service answers all gateways.
+///
+/// Where an agent on each machine pushes the list, each gateway watches its own agent instead: a change counts as known
+/// to a gateway as soon as its agent has it, whichever other gateway watches.
 fn endpoint_watch(
     config: &Config,
     parts: &SharedParts,
@@ -151,7 +153,7 @@
     )))
 }
 
-/// Failover of whole sites, where the operators turned it on and leases are on.
+/// Builds the failover of whole sites if the operators enabled it and leases are on.
 fn site_failover(
     config: &Config,
     parts: &SharedParts,
--- a/src/net/lifecycle/error.rs
+++ b/src/net/lifecycle/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end the process with exit code 1. Their texts are what `main` prints on standard error.
+//! Errors that end the process with exit code 1. `main` prints their texts on standard error.
 
 use crate::net::config::operator_config::OperatorConfigError;
 use crate::net::config::ConfigError;
@@ -14,19 +14,19 @@
     /// The environment, the configuration file or the operators' file cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
-    /// A part of the gateway could not be started.
+    /// The gateway could not be started.
     #[error(transparent)]
     Startup(#[from] StartupError),
-    /// The router task ended. It never returns, so it has panicked.
+    /// The router task ended. Because it never returns, it must have panicked.
     #[error("the router task has failed")]
     RouterTaskFailed,
 }
 
-/// Why a gateway with a readable configuration could not be started.
+/// Why a gateway with a valid configuration could not be started.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The asynchronous runtime could not be built.
-    #[error("no runtime: {0}")]
+    #[error("cannot build the asynchronous runtime: {0}")]
     Runtime(#[source] io::Error),
     /// A signal handler could not be installed.
     #[error("cannot catch signals: {0}")]
@@ -34,24 +34,25 @@
     /// A listening socket could not be bound or inherited.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address of the configuration.
+        /// The address from the configuration.
         address: SocketAddr,
-        /// What the system says.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The system does not say on which address a socket listens.
-    #[error("no address: {0}")]
+    /// The operating system did not return the address on which a socket listens.
+    #[error("cannot determine the address of a listening socket: {0}")]
     LocalAddress(#[source] io::Error),
-    /// The limit leaves no descriptor for database hosts.
+    /// The descriptor limit leaves no descriptor for connections to database hosts.
     #[error(transparent)]
     TooFewDescriptors(#[from] TooFewDescriptors),
-    /// The operators' file does not fit the platform's settings.
+    /// The operators' file contradicts the platform's settings.
     #[error(transparent)]
     OperatorConfig(#[from] OperatorConfigError),
     /// Site failover could not be started.
     #[error("{0}")]
     SiteFailover(#[source] Box<dyn StdError>),
-    /// The peer socket could not be opened. It is tried again, so this ends no process.
+    /// The peer socket could not be opened. This error is only logged and the socket is tried again, so the process
+    /// goes on.
     #[error("{0}")]
     PeerSocket(#[source] Box<dyn StdError>),
 }
--- a/src/net/lifecycle/gateway.rs
+++ b/src/net/lifecycle/gateway.rs
@@ -1,4 +1,5 @@
-//! The running gateway: [`Gateway::start`] starts it step by step, [`Gateway::run_until_terminated`] ends it.
+//! The running gateway: [`Gateway::start`] starts it step by step, and [`Gateway::run_until_terminated`] serves until a
+//! signal stops it.
 
 use crate::net::admin::counter_report::CounterReport;
 use crate::net::config::{Config, ListenerSource};
@@ -36,8 +37,8 @@
     ///
     /// # Errors
     ///
-    /// A socket cannot be opened, there are too few descriptors, or the operators' file does not fit the platform's
-    /// settings.
+    /// Returns an error if a socket cannot be opened, there are too few descriptors, or the operators' file contradicts
+    /// the platform's settings.
     pub async fn start(
         config: Config,
         operator_signals: OperatorSignals,
@@ -54,8 +55,8 @@
         let revision = start_hot_restart(&config, &parts, &client_listener).await;
         position.revision = position.revision.max(revision);
         let router_task = spawn_router(&parts);
-        // Another process of this gateway may already know of drains, and they bind this process too: the first call
-        // is for the whole list, which discovery answers at once.
+        // Another process of this gateway may already know of drains, and this process has to respect them too.
+        // Therefore the first call requests the whole list, which discovery answers at once.
         position.needs_full_list |= listener.source == ListenerSource::Inherited;
         let discovery = spawn_discovery(&config, &parts, &services, position);
         let peer_socket = PeerSocketHandle::spawn(&config, &parts, &services);
@@ -87,8 +88,8 @@
     ///
     /// # Errors
     ///
-    /// The router task has ended. A gateway without routing decisions would accept requests and answer none, so the
-    /// process ends at once.
+    /// Returns an error as soon as the router task has ended: without routing decisions the gateway would accept
+    /// requests and answer none.
     pub async fn run_until_terminated(
         mut self,
         mut signals: TerminationSignals,
--- a/src/net/lifecycle/listening_socket.rs
+++ b/src/net/lifecycle/listening_socket.rs
@@ -1,4 +1,4 @@
-//! Listening sockets of the process: bound by itself, or inherited from the platform.
+//! Listening sockets of the process, which it binds itself or inherits from the platform.
 
 use crate::net::config::{Config, ListenerSource};
 use crate::net::lifecycle::StartupError;
@@ -8,24 +8,25 @@
 use std::rc::Rc;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// Connections that the system holds for the gateway until it accepts them.
+/// Maximum number of connections in the accept queue of a listening socket.
 const LISTEN_BACKLOG: u32 = 1024;
 
 /// The socket on which clients connect.
 #[derive(Clone)]
 pub struct ListeningSocket {
-    /// The socket; it is closed when the last clone is dropped.
+    /// The socket, which is closed when the last clone is dropped.
     pub socket: Rc<TcpListener>,
-    /// Who else holds the socket. It decides who serves the connections that wait in its queue.
+    /// Whether other processes hold the socket too. If they do, they serve the connections in its accept queue when
+    /// this process stops.
     pub source: ListenerSource,
 }
 
 impl ListeningSocket {
-    /// Binds or inherits the socket, as the configuration says.
+    /// Binds or inherits the socket, as the configuration specifies.
     ///
     /// # Errors
     ///
-    /// The address cannot be bound, or the process has inherited no socket.
+    /// Returns an error if the address cannot be bound or the process has inherited no socket.
     pub fn open(config: &Config) -> Result<Self, StartupError> {
         let socket = match config.listener_source {
             ListenerSource::Bound => bind(config.listen_address),
@@ -41,21 +42,21 @@
         })
     }
 
-    /// The address on which clients connect.
+    /// Returns the address on which clients connect.
     ///
     /// # Errors
     ///
-    /// The system does not know it.
+    /// Returns an error if the operating system does not return the address.
     pub fn local_address(&self) -> Result<SocketAddr, StartupError> {
         self.socket.local_addr().map_err(StartupError::LocalAddress)
     }
 }
 
-/// Binds the operators' socket.
+/// Binds the console's listening socket.
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub fn bind_console(address: SocketAddr) -> Result<TcpListener, StartupError> {
     bind(address).map_err(|source| StartupError::Listen { address, source })
 }
@@ -66,7 +67,8 @@
     } else {
         TcpSocket::new_v6()
     }?;
-    // Without this, a restarted gateway could not bind while connections of its predecessor are closing.
+    // Without `SO_REUSEADDR` a restarted gateway could not bind the address while connections of the process before it
+    // are still closing.
     socket.set_reuseaddr(true)?;
     socket.bind(address)?;
     socket.listen(LISTEN_BACKLOG)
@@ -74,7 +76,7 @@
 
 /// Takes the listening socket that the platform passes to every process of this gateway as descriptor 3.
 fn inherit() -> io::Result<TcpListener> {
-    // `listenfd` reads systemd's variables; these values make it take one descriptor, from number 3 on.
+    // `listenfd` reads systemd's variables. These values make it take exactly one descriptor, number 3.
     std::env::set_var("LISTEN_FDS", "1");
     std::env::remove_var("LISTEN_PID");
     std::env::remove_var("LISTEN_FDS_FIRST_FD");
--- a/src/net/lifecycle/peer_socket_task.rs
+++ b/src/net/lifecycle/peer_socket_task.rs
@@ -1,4 +1,4 @@
-//! The task that opens the peer socket, as soon as its address is free, and then runs it.
+//! The task that opens the peer socket as soon as its address is free, and then runs it.
 
 use crate::net::cluster::peer_socket::{self, PeerSocket};
 use crate::net::cluster::services::ClusterServices;
@@ -12,16 +12,17 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Pause before the peer socket's address is tried again. While one version follows another the older process has the
-/// address; the newer one is to cooperate soon after that process ends, and half a second costs next to nothing.
+/// Pause between two attempts to bind the peer socket. During a hot restart the older process holds the address. The
+/// pause is short, so that the newer process cooperates with the other gateways soon after the older one has ended, and
+/// long enough that the attempts cost next to nothing.
 const OPEN_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The peer socket of this process, from when it is open.
+/// The peer socket of this process; empty until the socket is open.
 #[derive(Default)]
 pub struct PeerSocketHandle(RefCell<Option<Rc<PeerSocket>>>);
 
 impl PeerSocketHandle {
-    /// Opens the peer socket in a task of its own, where the configuration has peers.
+    /// Opens the peer socket in a task of its own if the configuration has peers.
     pub fn spawn(config: &Config, parts: &SharedParts, services: &ClusterServices) -> Rc<Self> {
         let handle = Rc::<Self>::default();
         if let Some(peers) = &config.peers {
@@ -37,7 +38,8 @@
         handle
     }
 
-    /// Releases the leases of this gateway and announces that it leaves, if the socket is open.
+    /// Releases the leases of this gateway and announces to other gateways that it leaves. Does nothing unless the
+    /// socket is open.
     pub fn leave(&self) {
         let socket = self.0.borrow().clone();
         if let Some(socket) = socket {
@@ -52,18 +54,19 @@
     }
 }
 
-/// What the peer socket is opened with.
+/// Opens the peer socket with these parts of the gateway.
 struct PeerSocketOpener {
     peers: Peers,
     parts: SharedParts,
-    /// Whether gateways share the results of health checks; without it the socket carries membership alone.
+    /// Whether gateways share the results of health checks over the socket. Otherwise it carries only membership and
+    /// write intents.
     shares_health_checks: bool,
     services: ClusterServices,
 }
 
 impl PeerSocketOpener {
-    /// Opens the socket as soon as no other process has its address. While one version follows another, that is when
-    /// the older process has ended.
+    /// Opens the socket as soon as no other process holds its address. During a hot restart that is when the older
+    /// process has ended.
     async fn open_when_free(&self) -> Rc<PeerSocket> {
         let mut waited = false;
         loop {
--- a/src/net/lifecycle/reload.rs
+++ b/src/net/lifecycle/reload.rs
@@ -10,9 +10,9 @@
 
 /// Reads the configuration file again and applies what can change without a restart.
 pub struct ConfigReloader {
-    /// The configuration that is in force.
+    /// The configuration in force.
     pub config: Config,
-    /// The parts that take new settings.
+    /// The parts to which new settings are applied.
     pub parts: SharedParts,
     /// The address that the discovery task calls.
     pub discovery_address: watch::Sender<SocketAddr>,
@@ -49,7 +49,7 @@
             router,
             ..
         } = &self.parts;
-        // Zones keep the numbers that they have in this process, whatever their order in the new file.
+        // A zone keeps the number that it already has in this process, whatever the order of zones in the new file.
         platform.settings.zone = upstream.update_settings(&platform);
         let measurements_from = classes.swap(&platform);
         let settings = Box::new(classes.settings().clone());
@@ -59,7 +59,7 @@
         });
     }
 
-    /// Gives the discovery task its new address, if the file has one; returns whether it differs from the old one.
+    /// Sends the discovery task the address from the file, if the file has one. Returns whether the address changed.
     fn apply_discovery_address(&self, new: Option<SocketAddr>) -> bool {
         let Some(new) = new else {
             return false;
--- a/src/net/lifecycle/shared_parts.rs
+++ b/src/net/lifecycle/shared_parts.rs
@@ -1,4 +1,4 @@
-//! The parts that requests, background tasks and cluster services of one process share.
+//! The parts of the gateway that requests, background tasks and cluster services share.
 
 use crate::net::buffers::Pool;
 use crate::net::config::Config;
@@ -11,7 +11,7 @@
 use crate::net::Clock;
 use std::rc::Rc;
 
-/// One part in four of the memory limit is for messages that exceed a buffer's size.
+/// A quarter of the memory limit is for messages that exceed the usual size of a buffer.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
 
 /// Parts of the gateway that several tasks use.
@@ -23,18 +23,18 @@
     pub metrics: Rc<Metrics>,
     /// Buffers for messages.
     pub buffers: Rc<Pool>,
-    /// Events to the router task.
+    /// Sends events to the router task.
     pub router: Rc<RouterHandle>,
     /// The database hosts and the connections to them.
     pub upstream: Rc<Upstream>,
     /// The request classes and the router's settings.
     pub classes: Rc<Classes>,
-    /// Whether clients are served.
+    /// Whether the process serves clients.
     pub serving_state: Rc<ServingState>,
 }
 
 impl SharedParts {
-    /// Builds the parts; nothing runs yet and no database host is known.
+    /// Builds the parts. No task runs yet, and no database host is known.
     pub fn new(config: &Config, descriptors: &DescriptorBudget) -> Self {
         let clock = Clock::new();
         let metrics = Rc::<Metrics>::default();
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -1,7 +1,8 @@
 //! A planned shutdown after SIGTERM or SIGINT: its schedule and its steps.
 //!
-//! Clients use the connections that they have for as long as these stay open, and nobody takes over what a closed
-//! connection would have carried until the gateway is back. So connections are served until little time is left.
+//! Clients go on using their connections for as long as these stay open. The requests that a closed connection would
+//! have carried are not served by any other gateway until this one has restarted. Therefore the gateway serves open
+//! connections until just enough time is left before the platform kills the process.
 
 use crate::net::config::ListenerSource;
 use crate::net::downstream::listener::ClientListener;
@@ -15,41 +16,43 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The platform kills the process no sooner than this after the longest deadline.
+/// The platform kills the process at the earliest this long after the longest deadline, counted from the signal.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The platform counts no deadline as longer than this.
+/// The platform counts a longer deadline as this long when it sets the time of the kill.
 const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
-/// New connections come for 0.4 s after the signal; a little longer than that, all of them are accepted.
+/// Time after the signal during which all new connections are accepted. Clients open them for up to 0.4 s after the
+/// signal; the rest is a margin.
 const NEW_CONNECTIONS_PERIOD: Duration = Duration::from_millis(500);
-/// New requests end this long before the kill, as far as that leaves [`NEW_CONNECTIONS_PERIOD`].
+/// The last request is accepted this long before the kill, but not before [`NEW_CONNECTIONS_PERIOD`] has ended.
 const REQUESTS_END_BEFORE_KILL: Duration = Duration::from_millis(800);
-/// Every request has its answer this long before the kill, so that the answer still reaches the client.
+/// Every request is answered at least this long before the kill, so that the answer still reaches the client.
 const ANSWERS_END_BEFORE_KILL: Duration = Duration::from_millis(300);
-/// Where less time is left between the last request and the kill, answers end when one part in three of it is left.
+/// Where deadlines are short, little time is left from the last accepted request to the kill: the time from the last
+/// answer to the kill is then at most one third of it.
 const ANSWERS_END_DIVISOR: u32 = 3;
-/// Of the time between the last answers and the kill, clients are read for one part in so many. The rest is for the end of
-/// their connections: more than the 0.15 s for which a machine may stand still.
+/// The gateway still reads from clients during one third of the time from the last answer to the kill. The other two
+/// thirds are for closing the connections, which takes longer than the 0.15 s for which a machine may be paused.
 const READ_DIVISOR: u32 = 3;
-/// Clients have at least this long to close their side of a connection that the gateway has ended.
+/// Minimum time that clients have to close their side of a connection that the gateway has closed.
 const LAST_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a shutdown checks whether a step is done; short against the 0.3 s that answers have.
+/// How often a shutdown checks whether a step is complete. Short compared with [`ANSWERS_END_BEFORE_KILL`].
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// When the steps of a shutdown are due, as times since the signal.
+/// The times at which the steps of a shutdown end, counted from the signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownSchedule {
-    /// Until then all connections and requests are accepted.
+    /// All connections and requests are accepted until this time.
     pub accept_all_until: Duration,
-    /// Until then requests on open connections are accepted.
+    /// Requests on open connections are accepted until this time.
     pub accept_requests_until: Duration,
-    /// By then every request has its answer, and those that come later are rejected at once.
+    /// Every request is answered by this time, and requests that arrive later are rejected at once.
     pub answer_by: Duration,
-    /// From then on clients are not read any more: what is left is for the end of their connections.
+    /// The gateway reads from clients until this time. The time after it is for closing their connections.
     pub read_until: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule for this longest deadline among the classes that new requests can be in.
+    /// Returns the schedule for the longest deadline among the classes of the newest settings.
     pub fn new(longest_deadline: Duration) -> Self {
         let killed = longest_deadline.min(LONGEST_COUNTED_DEADLINE) + KILL_DELAY;
         let accept_requests_until = killed
@@ -74,18 +77,19 @@
     pub client_listener: Rc<ClientListener>,
     /// The socket on which clients connect.
     pub listener: ListeningSocket,
-    /// The task that accepts them.
+    /// The task that accepts client connections.
     pub accept_task: JoinHandle<()>,
-    /// The peer socket, if it is open.
+    /// The peer socket, which may not be open yet.
     pub peer_socket: Rc<PeerSocketHandle>,
 }
 
 impl Shutdown {
-    /// Runs all steps in order; the process can end when this returns.
+    /// Runs all steps in order. The process can end when this returns.
     pub async fn run(self) {
         let started = Instant::now();
         let schedule = self.announce(started);
-        // The other gateways are informed meanwhile: a socket that takes no datagram must not delay the schedule.
+        // The other gateways are informed after the schedule has started, because a socket that accepts no datagram
+        // must not delay it.
         self.peer_socket.leave();
         self.accept_last_requests(started, schedule).await;
         let Self {
@@ -100,7 +104,7 @@
         finish_open_requests(&parts, &client_listener).await;
     }
 
-    /// Changes the serving state, and gives all requests the time by which they need their answers.
+    /// Changes the serving state, and tells all requests and connections the deadlines of the shutdown.
     fn announce(&self, started: Instant) -> ShutdownSchedule {
         let schedule = ShutdownSchedule::new(self.parts.classes.longest_wait());
         let context = &self.client_listener.request_context;
@@ -111,7 +115,7 @@
         self.parts.serving_state.stop();
         log!("stopping");
         log!(
-            "{} requests are open on {} connections; requests are taken for {:?}, answers are due within {:?}",
+            "{} requests are open on {} connections; requests are accepted for {:?}, answers are due within {:?}",
             self.parts.router.open_requests(),
             self.client_listener.connection_limit.open_connections(),
             schedule.accept_requests_until,
@@ -120,8 +124,8 @@
         schedule
     }
 
-    /// Goes on serving while the schedule leaves time for it: at first all that comes, then the connections that are
-    /// open. Not where another process accepts clients on the same socket: that one serves them.
+    /// Goes on serving for as long as the schedule allows: at first new connections too, then only the open ones.
+    /// Returns at once if the listener is inherited, because another process of the gateway then serves the clients.
     async fn accept_last_requests(&self, started: Instant, schedule: ShutdownSchedule) {
         if self.listener.source == ListenerSource::Inherited {
             return;
@@ -135,8 +139,8 @@
     }
 }
 
-/// Closes the listener. Connections in its queue are still served, unless the socket is inherited: then they are the
-/// next process's, as are the clients that are disconnected now.
+/// Closes the listener. Connections in its accept queue are still served, unless the socket is inherited: then the next
+/// process accepts them, and the clients that this process disconnects connect to that process.
 async fn stop_accepting(
     client_listener: &Rc<ClientListener>,
     listener: ListeningSocket,
@@ -149,8 +153,9 @@
     }
 }
 
-/// Waits until all connections are closed and all requests are over, at most for the longest deadline. Requests keep
-/// the classes that they came in, whatever the settings say now.
+/// Waits until all connections are closed and all requests have ended, but no longer than the longest deadline of a
+/// request in flight, and no longer than [`LAST_CLOSE_TIMEOUT`] where that deadline is shorter. A request keeps the
+/// deadline of the class with which it arrived, even if the settings have changed since.
 async fn finish_open_requests(parts: &SharedParts, client_listener: &ClientListener) {
     let longest = parts.classes.longest_wait_held().max(LAST_CLOSE_TIMEOUT);
     let end = Instant::now() + longest;
@@ -162,7 +167,7 @@
     }
     let unfinished = parts.router.open_requests();
     if unfinished > 0 {
-        log!("{unfinished} requests are not finished at the end");
+        log!("{unfinished} requests were still unfinished when the shutdown ended");
     }
 }
 
--- a/src/net/lifecycle/signals.rs
+++ b/src/net/lifecycle/signals.rs
@@ -8,9 +8,9 @@
 
 /// All signals that the gateway handles.
 pub struct Signals {
-    /// Those that stop it.
+    /// The signals that stop the gateway.
     pub termination: TerminationSignals,
-    /// Those that operators send to a running gateway.
+    /// The signals that operators send to a running gateway.
     pub operator: OperatorSignals,
 }
 
@@ -27,11 +27,11 @@
 }
 
 impl Signals {
-    /// Installs the handlers. From now on none of these signals ends the process by itself.
+    /// Installs the handlers. From then on none of these signals ends the process by its default action.
     ///
     /// # Errors
     ///
-    /// The system refuses a handler.
+    /// Returns an error if the operating system refuses a handler.
     pub fn catch() -> Result<Self, StartupError> {
         let catch = |kind| signal(kind).map_err(StartupError::Signals);
         Ok(Self {
@@ -58,7 +58,7 @@
 }
 
 impl OperatorSignals {
-    /// Handles SIGUSR1 and SIGHUP until the process ends; also during a shutdown, which a SIGHUP must not interrupt.
+    /// Handles SIGUSR1 and SIGHUP until the process ends, also during a shutdown, which a SIGHUP must not interrupt.
     pub async fn handle(mut self, counters: CounterReport, mut reloader: ConfigReloader) {
         loop {
             tokio::select! {
--- a/src/net/lifecycle/startup.rs
+++ b/src/net/lifecycle/startup.rs
@@ -1,5 +1,5 @@
-//! The parts and tasks of a gateway that starts. Each is built or spawned by a function of its own; the order is that of
-//! [`Gateway::start`](super::gateway::Gateway::start).
+//! The steps of the start: each part is built, and each task spawned, by a function of its own.
+//! [`Gateway::start`](super::gateway::Gateway::start) calls them in order.
 //!
 //! All tasks run on one thread.
 
@@ -29,11 +29,13 @@
 use tokio::task::{spawn_local, JoinHandle};
 use tokio::time::{interval, timeout};
 
-/// How long a process that inherits its listener waits for the first answer of discovery before it accepts clients.
-/// A discovery service that is silent must not keep the gateway from serving the list that it knows.
+/// How long a process that inherits its listener waits for the first answer of discovery before it accepts clients. The
+/// wait is limited because a discovery service that does not answer must not keep the gateway from serving clients with
+/// the endpoint list that it already has.
 const FIRST_DISCOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Applies the endpoint list of the configuration file; discovery goes on from its revision, if it has members.
+/// Applies the endpoint list of the configuration file. Returns the position from which discovery continues: the
+/// revision of that list if it has members, otherwise none.
 pub fn apply_known_endpoints(upstream: &Upstream, known: &EndpointList) -> ListPosition {
     upstream.apply_endpoint_list(known);
     let revision = (!known.members.is_empty()).then_some(known.revision);
@@ -44,7 +46,7 @@
 ///
 /// # Errors
 ///
-/// The address cannot be bound.
+/// Returns an error if the address cannot be bound.
 pub fn spawn_console(
     address: SocketAddr,
     parts: &SharedParts,
@@ -64,7 +66,7 @@
     Ok(())
 }
 
-/// Builds the part that serves clients; it accepts nobody yet.
+/// Builds the part that serves clients. It does not accept connections yet.
 pub fn build_client_listener(
     parts: &SharedParts,
     services: &ClusterServices,
@@ -97,8 +99,9 @@
     }
 }
 
-/// Takes over from an older process of this gateway, if there is one, and waits for newer ones. Returns the revision of
-/// the endpoint list that the older process has handed over.
+/// Takes over from an older process of this gateway, if there is one, and starts the task that hands over to newer
+/// processes. Returns the revision of the endpoint list that the older process handed over, or `None` if there was no
+/// hand-over.
 pub async fn start_hot_restart(
     config: &Config,
     parts: &SharedParts,
@@ -118,7 +121,7 @@
     revision
 }
 
-/// Starts the routing decisions; the task never returns.
+/// Starts the task that makes the routing decisions. The task never returns.
 pub fn spawn_router(parts: &SharedParts) -> JoinHandle<()> {
     let settings = parts.classes.settings().clone();
     spawn_local(run_router(
@@ -129,15 +132,15 @@
     ))
 }
 
-/// The ways to and from the discovery task.
+/// The channels to and from the discovery task.
 pub struct DiscoveryHandle {
-    /// The address that the task calls.
+    /// The address of discovery, which the task follows when it changes.
     pub address: watch::Sender<SocketAddr>,
     /// Whether discovery has answered at least once.
     pub answered: watch::Receiver<bool>,
 }
 
-/// Starts to watch the endpoint list from `position` on.
+/// Starts the task that watches the endpoint list from `position` on.
 pub fn spawn_discovery(
     config: &Config,
     parts: &SharedParts,
@@ -157,7 +160,8 @@
     DiscoveryHandle { address, answered }
 }
 
-/// Closes idle connections to database hosts and, where clients are many, those that have been quiet longest.
+/// Starts the tasks that close idle connections to database hosts and, where many clients are connected, the client
+/// connections that have been quiet longest.
 pub fn spawn_housekeeping(parts: &SharedParts, client_listener: &ClientListener) {
     let upstream = Rc::clone(&parts.upstream);
     spawn_local(repeat(IDLE_CLOSE_INTERVAL, move || upstream.close_idle()));
@@ -175,9 +179,11 @@
     }
 }
 
-/// Starts to accept clients. With an inherited listener that is once discovery has answered, as another process of this
-/// gateway may know of drains that this one does not: until then clients wait in the listener's queue, or the other
-/// process serves them.
+/// Starts the task that accepts clients.
+///
+/// With an inherited listener the task first waits for an answer of discovery, because another process of this gateway
+/// may know of drains that this one does not know yet. Meanwhile clients wait in the accept queue, or the other process
+/// accepts them.
 pub fn spawn_accept(
     client_listener: &Rc<ClientListener>,
     listener: &ListeningSocket,
@@ -188,7 +194,7 @@
     spawn_local(async move {
         if listener.source == ListenerSource::Inherited {
             let first_answer = discovery_answered.wait_for(|&answered| answered);
-            // After the timeout the list that the process knows has to do.
+            // After the timeout, clients are served with the endpoint list that the process already has.
             let _ = timeout(FIRST_DISCOVERY_TIMEOUT, first_answer).await;
         }
         client_listener.accept(listener.socket).await;
