--- a/src/net/descriptor_budget.rs
+++ b/src/net/descriptor_budget.rs
@@ -1,32 +1,32 @@
-//! How the descriptors of the process are divided between clients, database hosts and everything else.
+//! Divides the descriptors of the process between clients, database hosts and everything else.
 
 use thiserror::Error;
 
-/// Descriptors of every process beside those of clients and database hosts: standard streams, the runtime, the
-/// listeners, discovery, console connections, and client connections that are being turned away.
+/// Descriptors that each process needs besides those for clients and database hosts: standard streams, the runtime, the
+/// listeners, discovery, console connections, and client connections that are being rejected.
 pub const RESERVED_DESCRIPTORS: usize = 64;
-/// One in three of the other descriptors is for database hosts. Clients need more: they hold connections while their
-/// requests wait, and hosts are sent no more at a time than the router allows.
+/// A third of the remaining descriptors is for database hosts. Clients need more, because they hold their connections
+/// while requests are queued, and the router limits the requests in flight at the hosts.
 const UPSTREAM_DIVISOR: usize = 3;
-/// The platform lets clients hold a third of all descriptors. From half of that, a sixth, quiet clients are closed to
-/// make room for others.
+/// The platform lets clients hold a third of all descriptors. Above half of that, a sixth, quiet client connections are
+/// closed early so that other clients can connect.
 const USUAL_CLIENTS_DIVISOR: usize = 6;
 
-/// The limit leaves no descriptor for database hosts.
+/// The descriptor limit leaves no descriptor for database hosts.
 #[derive(Debug, Error)]
 #[error("{limit} descriptors are too few")]
 pub struct TooFewDescriptors {
-    /// Descriptors that the process may hold.
+    /// Maximum number of descriptors that the process may hold.
     limit: usize,
 }
 
-/// How the descriptors of the process are divided.
+/// The division of the process's descriptors.
 pub struct DescriptorBudget {
-    /// Connections to database hosts, at most.
+    /// Maximum number of connections to database hosts.
     pub upstream_connections: usize,
-    /// Client connections, at most.
+    /// Maximum number of client connections.
     pub client_connections: usize,
-    /// Client connections above which quiet ones are closed early.
+    /// Number of client connections above which quiet ones are closed early.
     pub usual_client_connections: usize,
 }
 
@@ -35,7 +35,7 @@
     ///
     /// # Errors
     ///
-    /// None is left for database hosts.
+    /// Returns an error if no descriptor is left for database hosts.
     pub fn new(limit: usize) -> Result<Self, TooFewDescriptors> {
         let available = limit.saturating_sub(RESERVED_DESCRIPTORS);
         let upstream_connections = available / UPSTREAM_DIVISOR;
--- a/src/net/endpoint_list.rs
+++ b/src/net/endpoint_list.rs
@@ -1,7 +1,7 @@
-//! The endpoint list: its types, and the decision which lists of discovery are applied.
+//! The endpoint list: its types, and the decision which of the lists that discovery sends are applied.
 //!
-//! The types say nothing of where a list comes from: discovery, the operators' configuration and a process that hands
-//! over to its successor all use them.
+//! The types are the same for every source of a list: discovery, the configuration file, and an older process that
+//! hands over to a newer one.
 
 use irisrouter_endpoint_watch::Revision;
 use serde::{Deserialize, Serialize};
@@ -9,45 +9,46 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After this time an address whose lists are still older than the one that is held is taken to have restarted its
-/// revisions, and is believed. Long, since an address that merely lags would undo drains and drop hosts.
+/// An address that has sent lists older than the newest known one for this long is assumed to have restarted its
+/// revisions, and its list is accepted. The time is long because the list of an address that merely lags would undo
+/// drains and drop hosts.
 const REVISION_RESET_DELAY: Duration = Duration::from_secs(60);
-/// The size of a host whose entry has none.
+/// Size of a host whose entry has no size.
 const DEFAULT_SIZE: f64 = 1.0;
 
 /// Whether a database host is in service.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum EndpointPhase {
-    /// It takes requests.
+    /// The host accepts requests.
     InService,
-    /// It completes its requests and takes no new ones.
+    /// The host completes its requests and accepts no new ones.
     Terminating,
-    /// It is out of service.
+    /// The host is out of service.
     Terminated,
 }
 
-/// One database host of the list.
+/// One database host in the list.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct EndpointEntry {
-    /// Its identifier, the same at every gateway.
+    /// Identifier of the host, the same at every gateway.
     pub id: String,
-    /// Where it listens, as seen from this gateway.
+    /// Address at which this gateway reaches the host.
     pub host_port: SocketAddr,
-    /// Its zone.
+    /// Zone of the host.
     #[serde(default)]
     pub locality: String,
-    /// Its group.
+    /// Group of the host.
     pub cell: i64,
-    /// Whether it is in service.
+    /// Whether the host is in service.
     pub phase: EndpointPhase,
-    /// Its capacity relative to the others.
+    /// Capacity of the host relative to the other hosts.
     #[serde(default = "default_size")]
     pub size: f64,
-    /// Unix time in milliseconds of its last start; 0 for long ago.
+    /// Time of the host's last start, as Unix time in milliseconds; 0 if that was long ago.
     #[serde(default)]
     pub up_since_ms: f64,
-    /// Its role, where the list contains roles.
+    /// Role of the host, if the list contains roles.
     #[serde(default)]
     pub access: Option<String>,
 }
@@ -56,20 +57,20 @@
     DEFAULT_SIZE
 }
 
-/// A list of database hosts, or the changes to one.
+/// A list of database hosts, or the changes to a list.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(from = "List")]
 pub struct EndpointList {
-    /// Its version.
+    /// Version of the list.
     pub revision: Revision,
-    /// Whether it has all hosts, or only those that have changed.
+    /// Whether `members` has all hosts, or only those that have changed.
     pub complete: bool,
-    /// The entries.
+    /// The hosts.
     pub members: Vec<EndpointEntry>,
 }
 
-/// An [`EndpointList`] while it is read. The name of this type is part of the error text that operators see for a
-/// malformed list ("expected struct List"), and so can't change.
+/// The form from which an [`EndpointList`] is deserialized. The name of this type must not change, because it is part
+/// of the error text that operators see for a malformed list ("expected struct List").
 #[derive(Deserialize)]
 struct List {
     revision: Revision,
@@ -87,19 +88,20 @@
     }
 }
 
-/// What is known of the list so far, from whichever address it came, and what to request next.
+/// The newest known revision of the list, from any source, and what the next call to discovery requests.
 #[derive(Debug, Default)]
 pub struct ListPosition {
-    /// The newest revision.
+    /// The newest known revision, or `None` if no list is known.
     pub revision: Option<Revision>,
-    /// The next call requests the whole list, which is answered at once, and not the changes, which are waited for.
+    /// Whether the next call requests the whole list, which discovery answers at once, instead of waiting for changes.
     pub needs_full_list: bool,
-    /// Since when the present address has had an older revision than the newest; none while it has not.
+    /// The time since which the current address has sent only lists older than the newest known one, or `None` if its
+    /// last list was not older.
     behind_since: Option<Instant>,
 }
 
 impl ListPosition {
-    /// The position of a gateway that has the list of this revision, or none.
+    /// Returns the position of a gateway that has the list of this revision, or of one that has no list.
     pub fn at(revision: Option<Revision>) -> Self {
         ListPosition {
             revision,
@@ -108,18 +110,18 @@
         }
     }
 
-    /// Requests the whole list next, from a new address: a watch can only go on at the address where it began.
+    /// Makes the next call request the whole list, because a watch cannot be continued at another address.
     pub fn restart_at_new_address(&mut self) {
         self.needs_full_list = true;
         self.behind_since = None;
     }
 
-    /// The revision from which on changes are requested next; none where the whole list is.
+    /// Returns the revision since which the next call requests changes, or `None` if it requests the whole list.
     pub(super) fn changes_from(&self) -> Option<Revision> {
         self.revision.filter(|_| !self.needs_full_list)
     }
 
-    /// Decides whether a list is to be applied, and if so advances to it.
+    /// Decides whether to apply a list, and advances to its revision if so.
     pub fn accept(&mut self, list: &EndpointList) -> bool {
         let is_older = self.revision.is_some_and(|held| list.revision < held);
         let is_newer = self.revision.is_none_or(|held| list.revision > held);
@@ -133,13 +135,13 @@
             self.revision = Some(list.revision);
             self.behind_since = None;
         }
-        // Changes to a list that is not held are of no use: after a reset the whole list is needed first.
+        // After a reset the whole list is needed first: changes cannot be applied to a list that this gateway lacks.
         self.needs_full_list = revisions_reset && !accepted;
         accepted
     }
 
-    /// Whether the address has had older lists for so long that it must have restarted its revisions. `is_older` says
-    /// whether the list that it has just sent is older than the one that is held.
+    /// Returns whether the address has sent older lists for so long that it must have restarted its revisions.
+    /// `is_older` is whether the list that it has just sent is older than the newest known one.
     fn revisions_reset(&mut self, is_older: bool) -> bool {
         if !is_older {
             self.behind_since = None;
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -1,10 +1,11 @@
-//! Hot restart: two processes of one gateway, while one version follows another.
+//! Hot restart: a newer process of a gateway takes over from an older one, usually of another version.
 //!
-//! The older process hands over what it knows. After that each reports to the other what it uses of the platform's
-//! limits, which hold for both together. They connect over a Unix socket in the directory that they share; each line is
-//! a JSON object. A process that finds no other, or one whose document it cannot read, starts as if it were alone.
+//! The older process hands over its endpoint list and the router's measurements. After that, each process reports its
+//! resource usage to the other, because the platform's limits apply to both together. The processes communicate over a
+//! Unix socket in their shared directory; each line is a JSON object. A process that finds no older one, or cannot read
+//! its document, starts without a hand-over.
 //!
-//! The documents are read by other versions of this program: their keys and the socket's name must not change.
+//! Other versions of this program read the documents, so the keys and the name of the socket must not change.
 
 use crate::net::buffers::Pool;
 use crate::net::descriptor_budget::RESERVED_DESCRIPTORS;
@@ -31,28 +32,28 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-/// How long a starting process waits for the hand-over. A predecessor that works answers at once; one that hangs must
-/// not keep its successor from serving.
+/// How long a starting process waits for the hand-over. A working predecessor answers at once, and one that hangs must
+/// not keep its successor from serving clients.
 const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How often a change of the usage is reported. What can be taken within this time is covered by the reserves that the
-/// limits leave.
+/// Shortest time between two usage reports. The reserves within the limits cover what a process can allocate during
+/// this time.
 const USAGE_REPORT_INTERVAL: Duration = Duration::from_millis(20);
-/// Longest line that is read, in bytes: the document with the largest endpoint list fits in.
+/// Maximum length of a line, in bytes. The document with the largest endpoint list fits into it.
 const MAX_LINE_LENGTH: u64 = 4 << 20;
-/// Pause after the socket could not be bound.
+/// Pause after a failure to bind the socket or to hand over.
 const SOCKET_RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a process uses of the limits that hold for all processes together.
+/// The usage of the resources whose limits apply to all processes of the gateway together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Deserialize, Serialize)]
 #[serde(default)]
 pub struct ResourceUsage {
-    /// Client connections, and the descriptors that every process needs for itself.
+    /// Number of client connections, plus the descriptors reserved in each process.
     #[serde(rename = "clients")]
     client_descriptors: usize,
-    /// Connections to database hosts.
+    /// Number of connections to database hosts.
     #[serde(rename = "hosts")]
     upstream_connections: usize,
-    /// Memory of messages that exceed a buffer's size, in bytes.
+    /// Memory for messages that exceed the usual size of a buffer, in bytes.
     #[serde(rename = "memory")]
     message_memory: usize,
 }
@@ -69,16 +70,16 @@
     }
 }
 
-/// What the older process hands over.
+/// The document that the older process sends to the newer one.
 #[derive(Default, Deserialize, Serialize)]
 #[serde(default)]
 struct HandOverDocument {
     #[serde(rename = "list")]
     endpoint_list: EndpointList,
-    /// Names of the members of the snapshot, in its order.
+    /// Names of the members in the snapshot, in the same order.
     #[serde(rename = "members")]
     member_names: Vec<String>,
-    /// Names of the classes of the snapshot, in its order.
+    /// Names of the classes in the snapshot, in the same order.
     #[serde(rename = "classes")]
     class_names: Vec<String>,
     #[serde(rename = "lore")]
@@ -87,7 +88,7 @@
     usage: ResourceUsage,
 }
 
-/// The processes next to this one in the sequence of versions.
+/// The process before or after this one in the sequence of hot restarts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Side {
     Predecessor,
@@ -103,7 +104,7 @@
     }
 }
 
-/// What the processes on both sides of this one use.
+/// The resource usage that the processes on both sides of this one have reported.
 #[derive(Default)]
 struct UsageBySide {
     predecessor: Cell<ResourceUsage>,
@@ -131,21 +132,21 @@
     }
 }
 
-/// The parts of this process whose knowledge is handed over, and whose usage counts towards the shared limits.
+/// The parts of this process whose state is handed over and whose usage counts towards the shared limits.
 pub struct Dependencies {
     /// The endpoint list, and the connections to database hosts.
     pub upstream: Rc<Upstream>,
-    /// The connections of clients.
+    /// The client connections.
     pub connection_limit: Rc<ConnectionLimit>,
-    /// The memory of messages that exceed a buffer's size.
+    /// The memory for messages that exceed the usual size of a buffer.
     pub buffers: Rc<Pool>,
-    /// What the router has learnt.
+    /// The router and its measurements.
     pub router: Rc<RouterHandle>,
     /// The names of the request classes.
     pub classes: Rc<Classes>,
 }
 
-/// This process among those of its gateway.
+/// This process's side of hot restarts, both as successor and as predecessor.
 pub struct HotRestart {
     socket_path: PathBuf,
     dependencies: Dependencies,
@@ -153,7 +154,7 @@
 }
 
 impl HotRestart {
-    /// Hands over and takes over at this Unix socket.
+    /// Creates the hot restart at this Unix socket. No connection is made yet.
     pub fn new(socket_path: PathBuf, dependencies: Dependencies) -> Self {
         Self {
             socket_path,
@@ -163,10 +164,11 @@
     }
 
     /// Takes over from an older process, if there is one; from then on both share the limits. Returns the revision of
-    /// the endpoint list that the older process had.
+    /// the older process's endpoint list, or `None` if there was no hand-over.
     pub async fn take_over(self: &Rc<Self>) -> Option<Revision> {
         let receiving = timeout(HAND_OVER_TIMEOUT, self.receive_document()).await;
-        // No predecessor, a slow one, or one of another format: this process starts as if it were alone.
+        // If there is no predecessor, or it is too slow, or its document cannot be read, this process starts without a
+        // hand-over.
         let (stream, document) = receiving.ok()?.ok()?;
         let revision = document.endpoint_list.revision;
         log!(
@@ -192,7 +194,8 @@
                 .upstream
                 .apply_endpoint_list(&document.endpoint_list);
         }
-        // Numbers of members and classes are those of the older process: its names give them the numbers of this one.
+        // The snapshot has the older process's numbers of members and classes. Their names map them to the numbers of
+        // this process.
         let members = document
             .member_names
             .iter()
@@ -210,11 +213,11 @@
             .post(Event::SnapshotReceived(Box::new(snapshot)));
     }
 
-    /// Waits for newer processes, and hands over to each; never returns.
+    /// Waits for newer processes and hands over to each. Never returns.
     pub async fn serve_successors(self: Rc<Self>) {
         loop {
             if let Err(error) = self.serve_successor().await {
-                log!("hot restart: cannot wait for a newer process: {error}");
+                log!("hot restart: cannot hand over to a newer process: {error}");
                 sleep(SOCKET_RETRY_DELAY).await;
             }
         }
@@ -230,7 +233,7 @@
     }
 
     async fn accept_successor(&self) -> io::Result<UnixStream> {
-        // The name may be left of a process that is gone, or of one that has handed over to this one.
+        // The socket's file may be left from a process that has ended or from the one that handed over to this one.
         if let Err(error) = fs::remove_file(&self.socket_path) {
             if error.kind() != io::ErrorKind::NotFound {
                 return Err(error);
@@ -257,14 +260,14 @@
         }
     }
 
-    /// Reports the usage to the process on one side and receives its reports, until that process ends.
+    /// Reports the usage to the process on one side, and receives its reports, until the connection ends.
     async fn share_limits(&self, side: Side, stream: BufReader<UnixStream>) {
         let (reader, writer) = tokio::io::split(stream);
         let ended: io::Result<Infallible> = tokio::select! {
             ended = self.send_usage(side, writer) => ended,
             ended = self.receive_usage(side, BufReader::new(reader)) => ended,
         };
-        // Whatever ended the connection, the process on that side uses nothing any more.
+        // Whatever ended the connection, the process on that side counts as one that uses no resources any more.
         let _ = ended;
         self.set_usage(side, ResourceUsage::default());
     }
@@ -298,7 +301,8 @@
         }
     }
 
-    /// What the process on one side has to count: what this process uses, and the process on its other side.
+    /// Returns the usage that is reported to the process on one side: that of this process plus that of the process on
+    /// the other side.
     fn usage_for(&self, side: Side) -> ResourceUsage {
         let own = ResourceUsage {
             client_descriptors: self.dependencies.connection_limit.open_connections()
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,15 +1,15 @@
-//! Logging: lines on standard error through one macro that limits their rate.
+//! Logging to standard error, with a limit on the rate of lines.
 
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Largest number of log lines in a period. A failing host causes a line for each request, and a reader that is slow would then block
-/// the gateway's thread on the pipe.
+/// Maximum number of log lines in a period. Without it, a failing host causes a line for each request, and a slow
+/// reader of the pipe then blocks the gateway's thread.
 const MAX_LINES_PER_PERIOD: u32 = 20;
-/// The period over which lines are counted.
+/// Length of the period over which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
-/// The lines of the current period.
+/// The number of lines in the current period.
 struct LineCount {
     started: Cell<Option<Instant>>,
     lines: Cell<u32>,
@@ -19,8 +19,8 @@
     static LINE_COUNT: LineCount = const { LineCount { started: Cell::new(None), lines: Cell::new(0) } };
 }
 
-/// Counts one more line. `None` if it may not be written; else the number of lines that the last period suppressed,
-/// which is not 0 at most once a period.
+/// Counts one more line. Returns `None` if the line must not be written. Otherwise returns, for the first line of a
+/// period, the number of lines suppressed in the last period, and 0 for every other line.
 pub fn admit() -> Option<u32> {
     LINE_COUNT.with(|count| {
         let now = Instant::now();
@@ -36,8 +36,8 @@
     })
 }
 
-/// Writes a line to standard error, unless the period has reached its limit. The first line of the next period is preceded
-/// by the number of lines that were left out.
+/// Writes a line to standard error unless the limit of the period has been reached. If lines were suppressed, the first
+/// line of the next period is preceded by their number.
 macro_rules! log {
     ($($arg:tt)*) => {
         if let Some(suppressed) = $crate::net::log::admit() {
--- a/src/net/metrics.rs
+++ b/src/net/metrics.rs
@@ -1,13 +1,14 @@
-//! Counters of what the gateway takes in, sends and answers, printed on SIGUSR1 and at exit.
+//! Counters of requests, connections and datagrams, printed on SIGUSR1 and at exit.
 //!
-//! They are grouped by subsystem. The line of the cluster's counters appears only once one of them counts.
+//! The counters are grouped by subsystem. Those of the cluster's subsystems are printed only if at least one of them is
+//! not 0.
 
 use irisrouter::routing::Outcome;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A count since the start of the process. A cell, as all tasks count on one thread and share the counters.
+/// A count since the start of the process. It is a `Cell` because all tasks share the counters on one thread.
 pub type Counter = Cell<u64>;
 
 /// Adds one to a counter.
@@ -18,43 +19,43 @@
 /// Requests and their final answers.
 #[derive(Default)]
 pub struct RequestMetrics {
-    /// Requests taken.
+    /// Requests received.
     pub received: Counter,
-    /// Final answers: a row of a database host.
+    /// Requests answered with a row from a database host.
     pub served: Counter,
-    /// Of those, the streamed ones that did not become complete.
+    /// Served requests whose streamed answer ended before it was complete.
     pub truncated: Counter,
-    /// Final answers: a retry is harmless.
+    /// Requests answered with a rejection: a retry is harmless.
     pub rejected: Counter,
-    /// Final answers: whether it ran is unknown.
+    /// Requests answered with a failure: it is unknown whether they ran.
     pub failed: Counter,
-    /// Clients that were gone, or cancelled, before their answer.
+    /// Requests whose client disconnected or cancelled before the answer.
     pub client_gone: Counter,
-    /// Statements that were malformed, and breaches of the protocol.
+    /// Malformed statements and protocol violations.
     pub malformed: Counter,
-    /// Queries whose time was over when the ones before them on their connection had been answered, be it their client's or
-    /// that of a shutdown.
+    /// Queries whose deadline, set by the client or by a shutdown, had passed when the queries before them on the same
+    /// connection had been answered.
     pub expired: Counter,
-    /// Queries that were rejected before they were requests, as there was no room for them.
+    /// Queries rejected before they became requests, because no memory was left for them.
     pub no_memory: Counter,
-    /// Of the failed ones, those that the router had not decided on in time: also those that a shutdown leaves no more time.
+    /// Failed requests for which the router made no decision in time, including those that a shutdown left no time.
     pub undecided: Counter,
-    /// Queries that were read whole and not answered, as the gateway ended their connection.
+    /// Queries that were read completely but not answered, because the gateway ended their connection.
     pub unanswered: Counter,
 }
 
 /// Connections to database hosts (upstream) and of clients (downstream).
 #[derive(Default)]
 pub struct ConnectionMetrics {
-    /// Connections to database hosts that came up.
+    /// Connections to database hosts that were established.
     pub upstream_opened: Counter,
-    /// Connections of clients.
+    /// Client connections accepted.
     pub downstream_accepted: Counter,
-    /// Of those, the ones that were told that there are too many.
+    /// Accepted client connections that were rejected because the connection limit was reached.
     pub downstream_rejected: Counter,
-    /// Of those, the quiet ones that were closed to make room for others.
+    /// Accepted client connections that were closed while quiet so that other clients can connect.
     pub downstream_evicted: Counter,
-    /// How often the gateway did not read a client for a while, as a write to it took long.
+    /// Number of times that the gateway paused reading from a client because a write to that client took long.
     pub input_paused: Counter,
 }
 
@@ -63,9 +64,9 @@
 pub struct GossipMetrics {
     /// Datagrams sent to all other gateways.
     pub sent: Counter,
-    /// Datagrams of other gateways that were used.
+    /// Datagrams from other gateways that were used.
     pub received: Counter,
-    /// Datagrams of any kind that were not used.
+    /// Datagrams of any kind that were ignored.
     pub ignored: Counter,
 }
 
@@ -78,13 +79,13 @@
     pub received: Counter,
     /// Datagrams that could not be read.
     pub rejected: Counter,
-    /// Changes of the view.
+    /// Changes of the membership view.
     pub changed: Counter,
-    /// How often this gateway refuted that it was down.
+    /// Number of times that this gateway refuted a suspicion that it was down.
     pub refuted: Counter,
 }
 
-/// Leases on tasks that one gateway does for all.
+/// Leases on tasks that one gateway performs for all.
 #[derive(Default)]
 pub struct LeaseMetrics {
     /// Datagrams sent.
@@ -93,7 +94,7 @@
     pub received: Counter,
     /// Datagrams that could not be read.
     pub rejected: Counter,
-    /// Leases that became this gateway's.
+    /// Leases that this gateway acquired.
     pub acquired: Counter,
     /// Leases that this gateway lost.
     pub lost: Counter,
@@ -112,9 +113,9 @@
     pub not_recorded: Counter,
     /// Retries whose earlier attempt may have run.
     pub found: Counter,
-    /// Retries that had never been sent.
+    /// Retries whose earlier attempts had never been sent to a database host.
     pub never_sent: Counter,
-    /// Retries of which nothing could be proven.
+    /// Retries for which the intents did not show whether an earlier attempt may have run.
     pub unproven: Counter,
 }
 
@@ -127,7 +128,7 @@
     pub completed: Counter,
 }
 
-/// The fleet's watch of the endpoint list.
+/// The watch of the endpoint list that the fleet shares.
 #[derive(Default)]
 pub struct EndpointWatchMetrics {
     /// Heartbeats sent.
@@ -141,7 +142,7 @@
 pub struct SiteFailoverMetrics {
     /// Load reports and plans sent.
     pub sent: Counter,
-    /// Plans made here.
+    /// Plans made by this gateway.
     pub planned: Counter,
     /// Plans received.
     pub received: Counter,
@@ -170,7 +171,8 @@
     pub endpoint_watch: EndpointWatchMetrics,
     /// Site failover.
     pub site_failover: SiteFailoverMetrics,
-    /// Attempts that ended, by the name of their outcome: printed in the order of the names, and only those that occurred.
+    /// Number of ended attempts by the name of their outcome. They are printed in alphabetical order, without those
+    /// that never occurred.
     attempts: RefCell<BTreeMap<&'static str, u64>>,
 }
 
@@ -212,7 +214,7 @@
         ]
     }
 
-    /// Counters that are printed only where they are not 0, in the order in which they are printed.
+    /// Counters that are printed only if they are not 0, in the order in which they are printed.
     fn rare_counters(&self) -> [(&'static str, &Counter); 5] {
         [
             ("expired", &self.requests.expired),
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,30 +1,30 @@
-//! The gateway process: the sockets, tasks and timers that carry out the routing decisions. Each module owns one concern.
+//! The gateway process: the sockets, tasks and timers that carry out the routing decisions. Each module has one task.
 //!
-//! The modules are layers. A module uses those above it in this list and never one below it, so that each can be
-//! understood, and tested, without what is built on it. `tests/layers` reads the list and checks it:
+//! The modules are layers. A module may use the modules above it in this list and never one below it, so that it can be
+//! understood and tested without the modules that build on it. `tests/layers` reads this list and checks the rule:
 //!
 //! 1. `log`: log lines, limited in rate
 //! 2. `metrics`: counters
 //! 3. `buffers`: pooled memory for messages
 //! 4. `pg`: the framing of the PostgreSQL protocol
-//! 5. `descriptor_budget`: how the descriptors of the process are divided
+//! 5. `descriptor_budget`: the division of the process's descriptors
 //! 6. `serving_state`: whether the process serves clients
-//! 7. `endpoint_list`: the list of database hosts, wherever it comes from
+//! 7. `endpoint_list`: the list of database hosts, from any source
 //! 8. `config`: the environment, the configuration file and the operators' file
 //! 9. `upstream`: database hosts and the connections to them
 //! 10. `router_task`: the task that owns the router
-//! 11. `cluster`: what gateways agree on with one another
+//! 11. `cluster`: the services through which gateways cooperate
 //! 12. `request`: one request from its arrival to its final answer
 //! 13. `discovery`: keeps the endpoint list up to date
 //! 14. `downstream`: the connections of clients
 //! 15. `admin`: the console and the printed counters
 //! 16. `hot_restart`: the hand-over between two versions of one gateway
-//! 17. `lifecycle`: start, signals, reload and shutdown; connects all others
+//! 17. `lifecycle`: start, signals, reload and shutdown; connects all other modules
 //!
-//! The clock and the conversions of time in this file are used by all of them.
+//! All of them may use the clock, the time conversions and the socket functions in this file.
 //!
-//! All tasks run on one thread. What several of them use is shared as an `Rc`, and what changes in it is a `Cell` or a
-//! `RefCell`; a `RefCell` is borrowed for a few statements only, and never across an await, so no borrow meets another.
+//! All tasks run on one thread. They share state through `Rc`, with mutable parts in a `Cell` or a `RefCell`. A
+//! `RefCell` is borrowed for a few statements only and never across an await, so that two borrows never conflict.
 
 pub mod admin;
 pub mod buffers;
@@ -51,13 +51,13 @@
 use tokio::io::AsyncWriteExt;
 use tokio::time::sleep;
 
-/// Pause before a write is repeated that failed for want of the system's memory.
+/// Pause before a write is retried that failed because the operating system was short of memory.
 const MEMORY_RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// The one clock of the program: monotonic, anchored once to Unix time, in nanoseconds.
+/// The clock of the program: a monotonic clock in nanoseconds that is anchored to Unix time once, at its creation.
 ///
-/// Positions and start times of database hosts are Unix times, so that the router can compare them with its own clock;
-/// a system clock that is set meanwhile must not turn time back.
+/// It counts Unix time because the router compares it with the positions and start times of database hosts, which are
+/// Unix times. It is monotonic so that a change of the system clock never makes time go back.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
@@ -65,7 +65,7 @@
 }
 
 impl Clock {
-    /// Anchors the clock to the present.
+    /// Creates a clock that is anchored to the current time of the system clock.
     pub fn new() -> Self {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -76,18 +76,19 @@
         }
     }
 
-    /// The present, as Unix time.
+    /// Returns the current time as Unix time.
     pub fn now(&self) -> Timestamp {
         self.unix + TimeDelta::from_nanos(self.start.elapsed().as_nanos() as i64)
     }
 }
 
-/// Reads what the system has received on a connection by now. The runtime knows only what had arrived when it last
-/// polled the system: without this read, bytes or an end that came since would be lost, or taken for silence.
+/// Reads the bytes that the operating system has received on a connection so far. The runtime only knows what had
+/// arrived when it last polled the system. Without this read, bytes or an end of the connection that arrived since
+/// would be lost, or the connection would be taken for silent.
 ///
 /// # Errors
 ///
-/// The connection is reset, or nothing has arrived (`WouldBlock`).
+/// Returns an error if the connection was reset, and `WouldBlock` if nothing has arrived.
 pub fn read_now(stream: &tokio::net::TcpStream, into: &mut [u8]) -> io::Result<usize> {
     loop {
         match (&*socket2::SockRef::from(stream)).read(into) {
@@ -97,12 +98,12 @@
     }
 }
 
-/// Writes all of these bytes, as often as the system interrupts the write or is short of memory for it: neither says
-/// anything of the peer, which waits for the bytes.
+/// Writes all bytes. Retries if the operating system interrupts the write or is short of memory, because neither means
+/// that the connection has failed, and the peer waits for the bytes.
 ///
 /// # Errors
 ///
-/// The connection has ended.
+/// Returns an error if the connection has ended.
 pub async fn write_all(stream: &mut tokio::net::TcpStream, bytes: &[u8]) -> io::Result<()> {
     let mut rest = bytes;
     while !rest.is_empty() {
@@ -117,24 +118,24 @@
     Ok(())
 }
 
-/// Whether a system call failed because the system has no memory for it at this moment.
+/// Returns whether a system call failed because the operating system is short of memory.
 fn is_short_of_memory(error: &io::Error) -> bool {
     const ENOMEM: i32 = 12;
     const ENOBUFS: i32 = 105;
     matches!(error.raw_os_error(), Some(ENOMEM | ENOBUFS))
 }
 
-/// Converts a length of time of the router; a negative one is zero.
+/// Converts one of the router's time spans to a `Duration`. A negative time span becomes zero.
 pub fn duration(length: TimeDelta) -> Duration {
     Duration::from_nanos(length.max(TimeDelta::ZERO).as_nanos() as u64)
 }
 
-/// Converts a duration to the router's unit; one that is too long becomes the longest time.
+/// Converts a `Duration` to one of the router's time spans. One that is too long becomes `TimeDelta::MAX`.
 pub fn time_delta(duration: Duration) -> TimeDelta {
     i64::try_from(duration.as_nanos()).map_or(TimeDelta::MAX, TimeDelta::from_nanos)
 }
 
-/// Unix time in milliseconds: all machines of the platform read one clock.
+/// Returns the Unix time in milliseconds, which is the same on all machines of the platform.
 pub fn unix_milliseconds() -> u64 {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/net/serving_state.rs
+++ b/src/net/serving_state.rs
@@ -1,31 +1,31 @@
-//! Whether the process serves clients: one value, set by the console and the signals and read by the connections.
+//! Whether the process serves clients: one value, which the console and the signals set and the connections read.
 
 use tokio::sync::watch;
 
-/// What the process does with clients. After `Serving`, in the order in which a process ends.
+/// Whether, and how, the process serves clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingMode {
-    /// Not ready for clients yet.
+    /// The process is starting and does not serve clients yet.
     Starting,
     /// Clients are served.
     Serving,
-    /// Clients are disconnected between requests, until an operator activates the gateway again.
+    /// Clients are disconnected between requests until an operator activates the gateway again.
     Drained,
-    /// After SIGTERM, while clients are still served on the connections that they have.
+    /// The process is shutting down and still serves clients while the schedule leaves time.
     Stopping,
-    /// After SIGTERM: clients are disconnected for good.
+    /// The process is shutting down and disconnects clients between requests.
     Closing,
 }
 
 impl ServingMode {
-    /// Whether connections are ended between two requests.
+    /// Returns whether client connections are closed between two requests.
     pub fn disconnects_clients(self) -> bool {
         matches!(self, ServingMode::Drained | ServingMode::Closing)
     }
 }
 
-/// The mode of the process. It is one value and not a flag each for the console, the connections and the signals:
-/// flags could disagree, and clients be invited by one and disconnected by another.
+/// The mode of the process. It is one value because separate flags for the console, the connections and the signals
+/// could disagree: clients could be accepted because of one flag and disconnected because of another.
 pub struct ServingState(watch::Sender<ServingMode>);
 
 impl Default for ServingState {
@@ -35,22 +35,23 @@
 }
 
 impl ServingState {
-    /// The present mode.
+    /// Returns the current mode.
     pub fn mode(&self) -> ServingMode {
         *self.0.borrow()
     }
 
-    /// Notifies of every change of the mode.
+    /// Returns a receiver that is notified of each change of the mode.
     pub fn subscribe(&self) -> watch::Receiver<ServingMode> {
         self.0.subscribe()
     }
 
-    /// Clients can be served from now on. A drain by the console during the start stays in force.
+    /// Records that the process can serve clients. If the console drained it during the start, it stays drained.
     pub fn mark_ready(&self) {
         self.transition(&[ServingMode::Starting], ServingMode::Serving);
     }
 
-    /// Disconnects clients. May be repeated, and may come at any time; a process that stops does so anyway.
+    /// Drains the gateway: clients are disconnected between requests. May be called repeatedly and at any time; has no
+    /// effect during a shutdown, which disconnects clients itself.
     pub fn evacuate(&self) {
         self.transition(
             &[ServingMode::Starting, ServingMode::Serving],
@@ -58,13 +59,14 @@
         );
     }
 
-    /// Undoes a drain. Returns whether clients are or will be served, which they are not once the process stops.
+    /// Ends a drain. Returns whether clients are served, or will be after the start; `false` during a shutdown.
     pub fn activate(&self) -> bool {
         self.transition(&[ServingMode::Drained], ServingMode::Serving);
         matches!(self.mode(), ServingMode::Serving | ServingMode::Starting)
     }
 
-    /// The process stops. A drained one does not serve its clients again because of that.
+    /// Records that the shutdown has begun. A drained process goes straight to `Closing`, so that the shutdown does not
+    /// make it serve clients again.
     pub fn stop(&self) {
         self.transition(
             &[ServingMode::Starting, ServingMode::Serving],
@@ -73,12 +75,12 @@
         self.transition(&[ServingMode::Drained], ServingMode::Closing);
     }
 
-    /// From now on only requests that are in flight are served.
+    /// From this call on, only requests in flight are served.
     pub fn close(&self) {
         self.0.send_replace(ServingMode::Closing);
     }
 
-    /// Changes the mode to `to` if it is one of `from`; receivers are notified only of a change.
+    /// Changes the mode to `to` if it is one of `from`. Receivers are notified only if the mode changes.
     fn transition(&self, from: &[ServingMode], to: ServingMode) {
         self.0.send_if_modified(|mode| {
             let changes = from.contains(mode);
--- a/src/platform_settings/error.rs
+++ b/src/platform_settings/error.rs
@@ -1,47 +1,47 @@
-//! Why a settings object cannot be used.
+//! The error for a settings object that cannot be used.
 
 use thiserror::Error;
 
-/// Why a settings object cannot be used. Its text is shown to operators.
+/// Why a settings object cannot be used. The text is shown to operators.
 #[derive(Debug, Error)]
 pub enum PlatformSettingsError {
-    /// It is not an object of the expected form: a key is missing or has another type.
+    /// The value is not an object of the expected form: a key is missing or has another type.
     #[error("{0}")]
     Malformed(#[source] serde_json::Error),
     /// A time is not positive, or longer than a day.
     #[error("{what} is {nanoseconds} ns")]
     TimeOutOfRange {
-        /// Which time.
+        /// Description of the time, for the error text.
         what: String,
-        /// Its value.
+        /// Value of the time.
         nanoseconds: i64,
     },
-    /// A class has no name, or that of another class.
+    /// The name of a class is empty or the same as that of another class.
     #[error("two classes or none of the name {name}")]
     ClassName {
-        /// The name.
+        /// Name of the class.
         name: String,
     },
-    /// Nothing could be served: no attempts, no classes or no gateways.
+    /// No request could be served, because there are no attempts, no classes or no gateways.
     #[error("no attempts, no classes or no gateways")]
     NothingToServe,
-    /// A class's freshness is missing or not known.
+    /// The freshness of a class is missing or unknown.
     #[error("unknown freshness {freshness:?} of class {class}")]
     UnknownFreshness {
-        /// Its value, if there is one.
+        /// Value of the freshness, or `None` if it is missing.
         freshness: Option<String>,
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// A class's effect is not known.
+    /// The effect of a class is unknown.
     #[error("unknown effect {effect} of class {class}")]
     UnknownEffect {
-        /// Its value.
+        /// Value of the effect.
         effect: String,
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// What members do with reads for which their data are too old is not known.
+    /// The value for how members treat reads for which their data are too old is unknown.
     #[error("unknown server checks {0}")]
     UnknownServerChecks(String),
 }
--- a/src/platform_settings/mod.rs
+++ b/src/platform_settings/mod.rs
@@ -1,7 +1,8 @@
-//! The settings object of the platform, read once into the router's [`Settings`] and the names behind its numbers.
+//! The settings object of the platform, converted into the router's [`Settings`] and tables of the names that the
+//! router knows as numbers.
 //!
-//! The simulator hands it over in its first message and a gateway finds it in its configuration, so both read
-//! it here.
+//! The simulator sends the object in its first message, and a gateway has it in its configuration file. Both are parsed
+//! here.
 
 mod error;
 mod name_table;
@@ -19,17 +20,17 @@
 use object::{WireClass, WireDomain};
 use serde::Deserialize;
 
-/// The keys that may be absent: the platform's page names no others.
+/// Keys that may be absent. The platform documents all others as required.
 pub const OPTIONAL: [&str; 2] = ["AimStretch", "DrainBindsAlone"];
-/// Gateways from which on one that checks hosts for all is worth the datagrams. Fewer gateways each see enough traffic
-/// of their own.
+/// Minimum number of gateways for which shared health checks are worth their datagrams. In a smaller fleet each gateway
+/// sees enough traffic of its own to judge the hosts.
 const MIN_GATEWAYS_TO_SHARE: u32 = 16;
-/// Longest time in the settings, a day, so that the sum of two times does not overflow.
+/// Longest time that the settings may contain, one day, so that the sum of two times does not overflow.
 const MAX_TIME: TimeDelta = TimeDelta::from_secs(24 * 60 * 60);
-/// Shortest tick. With no tick a queued request would be reviewed without end.
+/// Shortest tick. With a tick of zero the router would review a queued request endlessly.
 const MIN_TICK: TimeDelta = TimeDelta::from_millis(1);
 
-/// What the settings object says: the router's settings, and what the gateway round the router needs.
+/// The values of the settings object: the router's settings, and those that the rest of the gateway needs.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
     /// The router's settings.
@@ -38,20 +39,20 @@
     pub classes: NameTable,
     /// Names of the tenants, by their index in the settings.
     pub tenants: NameTable,
-    /// Names of the zones.
+    /// Names of the zones, by their number in the settings.
     pub zones: NameTable,
-    /// This gateway's number among those of its tier.
+    /// Number of this gateway among the gateways of its tier.
     pub gateway_number: u32,
-    /// Gateways may share health checks: they may send one another datagrams, hosts may be checked, and there are enough
-    /// gateways for it to be worth it.
+    /// Whether gateways share health checks: they may send one another datagrams, hosts may be checked, and there are
+    /// enough gateways for it to be worth the datagrams.
     pub shares_health_checks: bool,
-    /// Gateways may send one another datagrams at all (the platform's `Bounds.Peers`), however many they are.
+    /// Whether gateways may send one another datagrams (the platform's `Bounds.Peers`), whatever their number.
     pub peers_allowed: bool,
-    /// Hosts may be checked (`Bounds.Probes`).
+    /// Whether hosts may be checked (`Bounds.Probes`).
     pub health_checks_allowed: bool,
-    /// Clock time from which the simulator counts positions.
+    /// Clock time of position 0, from which the simulator counts positions.
     pub position_zero: Timestamp,
-    /// A database host closes a connection that has been idle for this long at the latest.
+    /// Time after which a database host closes an idle connection at the latest.
     pub idle_close: TimeDelta,
 }
 
@@ -60,7 +61,8 @@
     ///
     /// # Errors
     ///
-    /// The object is malformed, or a router with these settings could answer nothing.
+    /// Returns an error if the object is malformed, a value is out of range or unknown, or a router with these settings
+    /// could serve no request.
     pub fn parse(json: &serde_json::Value, seed: u64) -> Result<Self, PlatformSettingsError> {
         let info = BootInfo::deserialize(json).map_err(PlatformSettingsError::Malformed)?;
         Self::new(seed, &info)
@@ -87,7 +89,7 @@
     }
 }
 
-/// Rejects figures with which nothing could be answered, or classes that cannot be told apart.
+/// Rejects values with which no request could be served, and classes that cannot be distinguished by their names.
 fn check(info: &BootInfo) -> Result<(), PlatformSettingsError> {
     for (index, class) in info.classes.iter().enumerate() {
         let name = &class.name;
@@ -120,7 +122,8 @@
     }
 }
 
-/// A time that may be zero: a negative one counts as zero, and one beyond a day as a day, so that sums do not overflow.
+/// Limits a time that may be zero: a negative time becomes zero, and one longer than [`MAX_TIME`] becomes `MAX_TIME`,
+/// so that sums do not overflow.
 fn clamp_time(time: TimeDelta) -> TimeDelta {
     time.clamp(TimeDelta::ZERO, MAX_TIME)
 }
--- a/src/platform_settings/name_table.rs
+++ b/src/platform_settings/name_table.rs
@@ -1,21 +1,21 @@
-//! Names that are referred to by small numbers.
+//! A table that numbers names.
 
-/// Names with numbers, given out in order of first mention.
+/// A table of names. Each name has a number; numbers are assigned in the order in which names are added.
 #[derive(Clone, Debug, Default)]
 pub struct NameTable(Vec<String>);
 
 impl NameTable {
-    /// The names, by their numbers.
+    /// Returns the names in the order of their numbers.
     pub fn iter(&self) -> impl Iterator<Item = &str> {
         self.0.iter().map(String::as_str)
     }
 
-    /// The number of a name that has been mentioned.
+    /// Returns the number of a name, or `None` if the table does not have it.
     pub fn find(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|known| known == name)
     }
 
-    /// The number of a name; a new one at its first mention.
+    /// Returns the number of a name. A name that the table does not have is added with the next number.
     pub fn number(&mut self, name: &str) -> usize {
         self.find(name).unwrap_or_else(|| {
             self.0.push(name.to_string());
--- a/src/platform_settings/object.rs
+++ b/src/platform_settings/object.rs
@@ -1,6 +1,7 @@
-//! The settings object as the platform writes it: its JSON keys, and nothing that is derived from them.
+//! The settings object as the platform writes it: its JSON keys, without any derived values.
 //!
-//! The names of the structs are part of the error texts that operators see for a malformed object.
+//! The names of the structs must not change, because they are part of the error texts that operators see for a
+//! malformed object.
 
 use crate::routing::{TimeDelta, Timestamp};
 use serde::Deserialize;
@@ -24,14 +25,14 @@
     pub(super) priority_weight: f64,
 }
 
-/// What costs weight.
+/// Costs, as parts of the total weight.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WirePenalties {
     pub(super) probe: f64,
 }
 
-/// What the platform permits.
+/// Limits of the platform, and the features that it permits.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WireBounds {
@@ -48,7 +49,7 @@
     pub(super) hedged_requests: bool,
 }
 
-/// How members replicate and report.
+/// How members replicate, and how they report roles and positions.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WireDomain {
@@ -62,7 +63,7 @@
     pub(super) stamps: bool,
 }
 
-/// Figures of the rules that bind every gateway.
+/// Values of the rules that apply to every gateway.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WireRules {
@@ -77,7 +78,7 @@
     pub(super) only_listed_drains_bind: Option<bool>,
 }
 
-/// Where load reports come from, and what they hold.
+/// How load reports arrive, and which values they contain.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WireLoadInfo {
--- a/src/simulator/error.rs
+++ b/src/simulator/error.rs
@@ -1,4 +1,4 @@
-//! Why the adapter cannot go on.
+//! Errors of the adapter.
 
 use crate::platform_settings::PlatformSettingsError;
 use thiserror::Error;
@@ -6,7 +6,7 @@
 /// Why a line of the simulator cannot be answered.
 #[derive(Debug, Error)]
 pub enum AdapterError {
-    /// The line is no batch.
+    /// The line is not a batch of events in JSON.
     #[error("malformed batch: {0}")]
     MalformedBatch(#[source] serde_json::Error),
     /// The reply cannot be written as JSON.
@@ -15,13 +15,13 @@
     /// The settings of a new instance cannot be used.
     #[error(transparent)]
     Settings(#[from] PlatformSettingsError),
-    /// The code of an outcome is not known.
+    /// The code of an outcome is unknown.
     #[error("unknown outcome {0}")]
     UnknownOutcome(i64),
-    /// The status of a member is not known.
+    /// The status of a member is unknown.
     #[error("unknown status {0} of a member")]
     UnknownStatus(String),
-    /// The class of a request is not one of the settings'.
+    /// The class of a request is not in the settings.
     #[error("unknown class {0} of a request")]
     UnknownClass(String),
     /// A view refers to a catalog that was never sent.
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway: its router, and the names behind the numbers that the router knows.
+//! One simulated gateway: its router, and the mapping between the simulator's names and the router's numbers.
 
 use super::error::AdapterError;
 use super::wire::{Metrics, WireAction, WireEntry};
@@ -10,23 +10,23 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// Nanoseconds in a millisecond.
+/// Nanoseconds per millisecond.
 const NS_PER_MS: f64 = 1e6;
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 const NS_PER_S: f64 = 1e9;
-/// The bits of a replication status that hold the role; the others hold the position in milliseconds.
+/// Mask of the bits of a replication status that contain the role. The other bits contain the position in milliseconds.
 const ROLE_BITS: i64 = 0b11;
-/// How many bits that are.
+/// Number of bits in [`ROLE_BITS`].
 const ROLE_BIT_COUNT: u32 = 2;
 
-/// A request's name on the wire, kept until the request has ended and no attempt of it is in flight.
+/// A request that is kept until it has ended and none of its attempts is in flight.
 struct OpenRequest {
     name: String,
     attempts_in_flight: u32,
     ended: bool,
 }
 
-/// A request as the simulator announces it.
+/// A new request as the simulator sends it.
 pub(super) struct NewRequest<'a> {
     pub(super) name: Cow<'a, str>,
     pub(super) class: Cow<'a, str>,
@@ -39,7 +39,7 @@
     pub(super) retry: bool,
 }
 
-/// The end of an attempt as the simulator announces it.
+/// The end of an attempt as the simulator reports it.
 pub(super) struct EndedAttempt<'a> {
     pub(super) request: Cow<'a, str>,
     pub(super) attempt: u32,
@@ -51,7 +51,7 @@
     pub(super) metrics: Option<Metrics<'a>>,
 }
 
-/// The end of a health check as the simulator announces it.
+/// The end of a health check as the simulator reports it.
 pub(super) struct EndedHealthCheck<'a> {
     pub(super) member: Cow<'a, str>,
     pub(super) outcome: i64,
@@ -62,7 +62,7 @@
 /// One simulated gateway.
 pub(super) struct Instance {
     router: Router,
-    /// Clock time from which positions are counted.
+    /// Clock time of position 0.
     position_zero: Timestamp,
     classes: NameTable,
     tenants: NameTable,
@@ -72,18 +72,18 @@
     requests: HashMap<String, RequestId>,
     open: HashMap<RequestId, OpenRequest>,
     next_request: u64,
-    /// Events of the batch that is being read.
+    /// Events of the current batch.
     events: Vec<Event>,
-    /// Requests that may be over once the batch has run.
+    /// Requests to remove after the batch has run if they have ended and none of their attempts is in flight.
     closing: Vec<RequestId>,
 }
 
 impl Instance {
-    /// An instance that knows its settings and nothing else.
+    /// Creates an instance with these settings, without members or requests.
     ///
     /// # Errors
     ///
-    /// The settings cannot be used.
+    /// Returns an error if the settings cannot be used.
     pub(super) fn new(seed: u64, info: &BootInfo) -> Result<Self, AdapterError> {
         let platform = PlatformSettings::new(seed, info)?;
         Ok(Instance {
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// A member has a status that is not known.
+    /// Returns an error if the status of a member is unknown.
     pub(super) fn post_endpoints(
         &mut self,
         complete: bool,
@@ -131,7 +131,7 @@
     ///
     /// # Errors
     ///
-    /// Its class is not known.
+    /// Returns an error if the class of the request is unknown.
     pub(super) fn post_request(&mut self, request: NewRequest) -> Result<(), AdapterError> {
         let class = self.classes.find(&request.class);
         let class = class.ok_or_else(|| AdapterError::UnknownClass(request.class.to_string()))?;
@@ -169,11 +169,11 @@
         }
     }
 
-    /// Adds the end of an attempt to the batch; ignores that of a request or member that is not known.
+    /// Adds the end of an attempt to the batch. Ignores it if the request or the member is unknown.
     ///
     /// # Errors
     ///
-    /// The outcome is not known.
+    /// Returns an error if the outcome is unknown.
     pub(super) fn post_attempt_ended(&mut self, ended: EndedAttempt) -> Result<(), AdapterError> {
         let id = self.requests.get(ended.request.as_ref()).copied();
         let member = self.members.get(ended.member.as_ref()).copied();
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    /// Adds the leave of a client to the batch.
+    /// Adds the disconnection of a request's client to the batch.
     pub(super) fn post_client_gone(&mut self, request: &str) {
         if let Some(id) = self.requests.get(request).copied() {
             self.request_ended(id);
@@ -209,11 +209,11 @@
         }
     }
 
-    /// Adds the end of a health check to the batch; ignores that of a member that is not known.
+    /// Adds the end of a health check to the batch. Ignores it if the member is unknown.
     ///
     /// # Errors
     ///
-    /// The outcome is not known.
+    /// Returns an error if the outcome is unknown.
     pub(super) fn post_health_checked(
         &mut self,
         ended: EndedHealthCheck,
@@ -232,7 +232,7 @@
         Ok(())
     }
 
-    /// Runs the batch, and appends what the router wants done.
+    /// Runs the batch, and appends the router's actions to `output`.
     pub(super) fn run_batch(
         &mut self,
         instance: i64,
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The number of a member, a new one at its first mention.
+    /// Returns the id of a member. A new member gets the next id.
     fn member(&mut self, name: &str) -> MemberId {
         if let Some(&member) = self.members.get(name) {
             return member;
@@ -310,7 +310,8 @@
         })
     }
 
-    /// What the number that comes with an answer says of its member; nothing, if it has no role.
+    /// Decodes the replication status of a member, which an answer carries as a number. Returns `None` if the number
+    /// contains no role.
     fn status(&self, bits: i64) -> Option<ReplicationStatus> {
         let role = match bits & ROLE_BITS {
             1 => Role::Primary,
@@ -329,7 +330,7 @@
         self.open.get(&id).map(|open| open.name.clone())
     }
 
-    /// An action in the simulator's words; nothing for a request that is over.
+    /// Converts an action to the simulator's form. Returns `None` if its request is no longer open.
     fn wire_action(&mut self, instance: i64, action: Action) -> Option<WireAction> {
         let i = instance;
         Some(match action {
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter between the simulator's JSON lines and the router. It decides nothing.
+//! The adapter between the simulator's JSON lines and the router. It only converts; the router makes all decisions.
 
 mod error;
 mod instance;
@@ -13,7 +13,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use wire::{Batch, Reply, WireAction, WireEntry, WireEvent};
 
-/// All instances of this process, and the catalogs that they share as messages.
+/// The simulated gateways of this process, and the endpoint catalogs that they share.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<i64, Instance>,
@@ -21,7 +21,7 @@
 }
 
 impl Adapter {
-    /// An adapter without instances.
+    /// Creates an adapter without instances.
     pub fn new() -> Self {
         Self::default()
     }
@@ -30,10 +30,11 @@
     ///
     /// # Errors
     ///
-    /// The line is malformed, or refers to something that is not known.
+    /// Returns an error if the line is malformed or refers to an unknown class, outcome, status or catalog, or if the
+    /// settings of a new instance cannot be used.
     pub fn line(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
-        // Instances with events, in the order in which they were first named.
+        // The instances with events in this batch, in the order of their first event.
         let mut touched: Vec<i64> = Vec::new();
         for event in batch.happened {
             if let Some(instance) = self.take_event(event, &mut touched)? {
@@ -60,7 +61,8 @@
         serde_json::to_string(&reply).map_err(AdapterError::Reply)
     }
 
-    /// Takes an event; returns the instance that has to run for it, if any. A killed instance leaves `touched`.
+    /// Handles an event. Returns the instance that has to run because of it, if any. Removes a killed instance from
+    /// `touched`.
     fn take_event(
         &mut self,
         event: WireEvent,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// Takes an event that needs nothing but its instance.
+    /// Handles an event that concerns only its instance. Ignores it if the instance does not exist.
     fn take_instance_event(&mut self, event: WireEvent) -> Result<Option<i64>, AdapterError> {
         let Some(id) = event.instance() else {
             return Ok(None);
@@ -176,7 +178,7 @@
     }
 }
 
-/// The text of a panic, for the simulator's report.
+/// Returns the text of a panic, for the reply to the simulator.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(ToString::to_string));
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -1,4 +1,4 @@
-//! The simulator's messages as JSON: their keys, and nothing that is derived from them.
+//! The simulator's messages as JSON: their keys, without any derived values.
 
 use crate::platform_settings::BootInfo;
 use crate::routing::{TimeDelta, Timestamp};
@@ -6,7 +6,7 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// A member in a catalog.
+/// One member in an endpoint catalog.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WireEntry {
@@ -19,10 +19,10 @@
     pub(super) since_ns: Option<Timestamp>,
 }
 
-/// Load figures by name; a figure may be absent.
+/// The values of a load report by name. A value may be null.
 pub(super) type Metrics<'a> = HashMap<Cow<'a, str>, Option<f64>>;
 
-/// What happened, by the instance that it happened to.
+/// An event in the simulation.
 #[derive(Deserialize)]
 pub(super) enum WireEvent<'a> {
     Init {
@@ -125,7 +125,7 @@
 }
 
 impl WireEvent<'_> {
-    /// The instance that the event is for, if it is for one.
+    /// Returns the instance that the event concerns, if it concerns one.
     pub(super) fn instance(&self) -> Option<i64> {
         match self {
             WireEvent::Init { inst, .. }
@@ -142,7 +142,7 @@
     }
 }
 
-/// One line from the simulator.
+/// A line from the simulator: the events at one time.
 #[derive(Deserialize)]
 pub(super) struct Batch<'a> {
     #[serde(rename = "TNs")]
@@ -152,14 +152,14 @@
     pub(super) happened: Vec<WireEvent<'a>>,
 }
 
-/// One line to the simulator.
+/// A line to the simulator: the actions for the events of one batch.
 #[derive(Serialize)]
 pub(super) struct Reply<'a> {
     pub(super) frame: &'a serde_json::Value,
     pub(super) output: Vec<WireAction>,
 }
 
-/// What an instance wants done.
+/// An action of an instance.
 #[derive(Serialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) enum WireAction {
--- a/tests/layers/main.rs
+++ b/tests/layers/main.rs
@@ -1,4 +1,5 @@
-//! The layers of `src/net`: a module uses those below it and never one above it. The list is in `src/net/mod.rs`.
+//! Checks the layers of `src/net`: a module may use lower layers and never a higher one. The list of layers is in
+//! `src/net/mod.rs`, with the lowest layer first.
 
 mod source_paths;
 
@@ -7,16 +8,16 @@
 use std::fs;
 use std::path::{Path as FilePath, PathBuf};
 
-/// The file with the list of layers.
+/// The file that contains the list of layers.
 const ROOT_FILE: &str = "mod.rs";
-/// The module whose parts are the layers.
+/// The module whose child modules are the layers.
 const ROOT_MODULE: &str = "net";
 
-/// A use of a higher layer, or of the whole tree, in which it cannot be seen what is used.
+/// A use of a higher layer, or an import of the whole root module, which hides the layers that are used.
 #[derive(Debug, PartialEq, Eq)]
 struct Violation {
     file: String,
-    /// The layer that is used; `net` for the whole tree.
+    /// The layer that is used, or `net` for an import of the whole root module.
     uses: String,
     path: Path,
 }
@@ -28,14 +29,14 @@
     }
 }
 
-/// A source file, named from `src/net` on.
+/// A source file. Its name is the path relative to `src/net`.
 struct SourceFile {
     name: String,
     source: String,
 }
 
 impl SourceFile {
-    /// The path of the module that the file is.
+    /// Returns the path of the module that the file defines.
     fn module(&self) -> Path {
         let stem = self.name.strip_suffix(".rs").unwrap_or(&self.name);
         let parts = stem.split('/').filter(|part| *part != "mod");
@@ -50,7 +51,7 @@
 struct Layers(Vec<String>);
 
 impl Layers {
-    /// Reads the numbered list in the documentation of the root file.
+    /// Parses the numbered list in the module documentation of the root file.
     fn parse(root_source: &str) -> Self {
         let documentation = root_source
             .lines()
@@ -66,14 +67,14 @@
         Layers(layers)
     }
 
-    /// The height of a layer; `None` for what is no layer, as an item of the root file.
+    /// Returns the height of a layer, or `None` if the name is not a layer, such as an item of the root file.
     fn height(&self, name: &str) -> Option<usize> {
         self.0.iter().position(|layer| layer == name)
     }
 
     fn violations(&self, file: &SourceFile) -> Vec<Violation> {
         let module = file.module();
-        // The root file is used by all layers, so it uses none: it has no height.
+        // All layers may use the root file, so the root file may use none of them. It has no height.
         let height = module.get(1).and_then(|layer| self.height(layer));
         let child_modules: &[String] = if module.len() == 1 { &self.0 } else { &[] };
         let mut violations = Vec::new();
@@ -102,7 +103,7 @@
     FilePath::new(env!("CARGO_MANIFEST_DIR")).join("src/net")
 }
 
-/// All sources of `src/net`, in the order of their names.
+/// Returns all source files of `src/net`, sorted by name.
 fn sources() -> Vec<SourceFile> {
     let root = net_directory();
     let mut directories = vec![root.clone()];
@@ -130,7 +131,7 @@
     Layers::parse(&root_source.expect("src/net/mod.rs"))
 }
 
-/// The violations of a source at this place.
+/// Returns what a file of this name with this source uses in violation of the layers.
 fn violations_of(name: &str, source: &str) -> Vec<String> {
     let file = SourceFile {
         name: name.to_string(),
--- a/tests/layers/source_paths.rs
+++ b/tests/layers/source_paths.rs
@@ -1,9 +1,9 @@
-//! Finds the paths that a Rust source uses: in imports, also grouped ones, and in code.
+//! Finds the paths that a Rust source uses, in imports (including grouped ones) and in code.
 //!
-//! It reads tokens and not the whole grammar: a path is what begins with `crate`, `super` or `self`, and at the root of
-//! the layers also what begins with the name of a module there.
+//! It works on tokens instead of the whole grammar: a path begins with `crate`, `super` or `self`, and in the root file
+//! of the layers also with the name of a child module.
 
-/// What a source is made of, as far as paths need it. Literals and comments are left out.
+/// A token of a source. Literals and comments produce no tokens, because they contain no paths.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Token {
     Identifier(String),
@@ -12,11 +12,11 @@
     Punctuation(char),
 }
 
-/// The path of a module or item from the root of the crate: `["net", "upstream", "Upstream"]`.
+/// The path of a module or item from the root of the crate, such as `["net", "upstream", "Upstream"]`.
 pub type Path = Vec<String>;
 
-/// The paths that `source` uses, each from the root of the crate. `module` is the path of the module that the source is,
-/// and `child_modules` those of its modules that paths in it may begin with.
+/// Returns the paths that `source` uses, each from the root of the crate. `module` is the path of the module that the
+/// source defines, and `child_modules` are the child modules with whose names a path in it may begin.
 pub fn used_paths(source: &str, module: &[String], child_modules: &[String]) -> Vec<Path> {
     let mut finder = PathFinder {
         tokens: tokens(source),
@@ -35,16 +35,16 @@
 struct PathFinder {
     tokens: Vec<Token>,
     position: usize,
-    /// The module at the present position.
+    /// The module that contains the current position.
     module: Path,
-    /// The depths of braces at which the open inline modules began.
+    /// The brace depths at which the inline modules around the current position begin.
     inline_modules: Vec<usize>,
     depth: usize,
     paths: Vec<Path>,
 }
 
 impl PathFinder {
-    /// Reads the next path or the next token that is part of none.
+    /// Reads the next path, or the next token that is not part of a path.
     fn step(&mut self, child_modules: &[String]) {
         match self.tokens[self.position].clone() {
             Token::Identifier(name) if name == "mod" && self.enters_inline_module() => return,
@@ -70,7 +70,7 @@
         self.position += 1;
     }
 
-    /// Enters the inline module that begins here, if one does.
+    /// Enters the inline module that begins at the current position. Returns `false` if none does.
     fn enters_inline_module(&mut self) -> bool {
         let Some(Token::Identifier(name)) = self.tokens.get(self.position + 1).cloned() else {
             return false;
@@ -93,13 +93,13 @@
         let followed = self.tokens.get(self.position + 1) == Some(&Token::PathSeparator);
         match name {
             "crate" | "super" => true,
-            // Without a separator it is the receiver of a method.
+            // Without a path separator, `self` is the receiver of a method.
             "self" => followed,
             _ => followed && child_modules.iter().any(|child| child == name),
         }
     }
 
-    /// Whether the present token is that of `pub(crate)`, `pub(super)` or `pub(in ...)`.
+    /// Returns whether the current token belongs to a `pub(crate)`, `pub(super)` or `pub(in ...)`.
     fn is_visibility(&self) -> bool {
         let before = &self.tokens[..self.position];
         let before = match before.split_last() {
@@ -110,14 +110,14 @@
         before.ends_with(&[public, Token::Punctuation('(')])
     }
 
-    /// Reads the rest of a path behind `prefix`, with all branches of its groups.
+    /// Reads the rest of a path after `prefix`, with all branches of its groups.
     fn read_path(&mut self, mut prefix: Path) {
         loop {
             match self.tokens.get(self.position).cloned() {
                 Some(Token::Identifier(name)) => self.append(&mut prefix, name),
                 Some(Token::Punctuation('*')) => prefix.push("*".to_string()),
                 Some(Token::Punctuation('{')) => return self.read_group(&prefix),
-                // The path ended before these: `Vec::<u32>`.
+                // The path ends before any other token, as in `Vec::<u32>`.
                 _ => break,
             }
             self.position += 1;
@@ -132,7 +132,7 @@
     fn append(&self, prefix: &mut Path, name: String) {
         match name.as_str() {
             "crate" => prefix.clear(),
-            // At the beginning it is the present module, in a group the prefix of the group.
+            // At the beginning of a path, `self` is the current module. In a group it is the prefix of the group.
             "self" if prefix.is_empty() => prefix.clone_from(&self.module),
             "self" => {}
             "super" => {
@@ -193,7 +193,8 @@
     character.is_alphanumeric() || character == '_'
 }
 
-/// The number of characters of the comment or literal that `rest` begins with, if it begins with one.
+/// Returns the length in characters of the comment or literal with which `rest` begins, or `None` if it begins with
+/// neither.
 fn skipped_length(rest: &[char]) -> Option<usize> {
     match rest {
         ['/', '/', ..] => Some(length_until(rest, 2, &['\n'])),
@@ -207,7 +208,7 @@
     }
 }
 
-/// The number of characters up to and with the first `end` from `start` on.
+/// Returns the number of characters up to and including the first `end` at or after `start`.
 fn length_until(rest: &[char], start: usize, end: &[char]) -> usize {
     let found = (start..rest.len()).find(|&at| rest[at..].starts_with(end));
     found.map_or(rest.len(), |at| at + end.len())
@@ -221,7 +222,7 @@
     position + 1
 }
 
-/// `None` for an `r#identifier`.
+/// Returns the length of a raw string, or `None` if `rest` begins with a raw identifier (`r#name`).
 fn raw_string_length(rest: &[char]) -> Option<usize> {
     let hashes = rest[1..].iter().take_while(|&&c| c == '#').count();
     if rest.get(1 + hashes) != Some(&'"') {
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -1,4 +1,4 @@
-//! A golden exchange on the wire, and what the adapter does with what is malformed.
+//! The adapter's replies to the simulator: expected replies to a request and its end, and errors for malformed input.
 
 use irisrouter::simulator::Adapter;
 use serde_json::{json, Value};
@@ -63,7 +63,7 @@
         "LagNs": 5, "DoneFlag": false, "Stand": 0, "Metrics": null}});
     let out = ask(&mut a, 9002000000, json!([end.clone()]));
     assert_eq!(out, vec![json!({"DropRequest": {"I": 0, "Call": "r/1"}})]);
-    // The same end again, an unknown id and an unknown instance: harmless.
+    // A repeated end of the attempt, a request that has ended and an unknown instance are ignored.
     let late =
         json!([end, {"Vanished": {"I": 0, "Call": "r/1"}}, {"Vanished": {"I": 9, "Call": "x"}}]);
     assert_eq!(ask(&mut a, 9003000000, late), Vec::<Value>::new());
--- a/tests/unit/answer.rs
+++ b/tests/unit/answer.rs
@@ -1,4 +1,4 @@
-//! The final answer of a request.
+//! The final answer to a request.
 
 use super::*;
 
--- a/tests/unit/buffers.rs
+++ b/tests/unit/buffers.rs
@@ -1,4 +1,4 @@
-//! Buffers: reuse, and the budget that large ones share.
+//! The reuse of buffers, and the budget that large buffers share.
 
 use super::{Pool, BUFFER_SIZE};
 
--- a/tests/unit/cancel.rs
+++ b/tests/unit/cancel.rs
@@ -1,4 +1,4 @@
-//! Which connection's query a cancel request cancels.
+//! Cancel requests, and the query that each of them cancels.
 
 use super::{CancelRegistry, CancellableQuery};
 use std::rc::Rc;
@@ -7,7 +7,7 @@
     query.cancelled.try_recv().is_ok()
 }
 
-/// Guards against a cancel request that cancels another query than the one waited for when it arrives.
+/// Guards against a cancel request that cancels a query other than the one whose answer its connection is waiting for.
 #[test]
 fn cancel_request_with_a_registered_key_cancels_only_the_query_waited_for() {
     let cancels = Rc::<CancelRegistry>::default();
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -1,11 +1,11 @@
-//! Request classes while settings change.
+//! Request classes across changes of the settings.
 
 use super::*;
 use irisrouter::platform_settings::NameTable;
 use irisrouter::routing::TimeDelta;
 
-/// A request that changes its class while it is in flight would be accounted to the wrong one, and slots that are never
-/// reused would pile up with each reload.
+/// Guards against a request that is counted in the wrong class because its slot was reused while it was in flight, and
+/// against slots that are never reused, so that their number grows with each reload.
 #[test]
 fn class_slot_is_reused_once_no_request_holds_it() {
     let text = include_str!("../gateway/settings.json");
@@ -20,7 +20,7 @@
     let slot = |name: &str| classes.find(name).map(|handle| handle.slot);
     let order = classes.find("order").expect("a class");
     assert_eq!((slot("read"), order.slot), (Some(0), 1));
-    // Changed while a request is in it: a slot of its own, which goes on from the estimates of the old one.
+    // A class that changes while a request holds it gets a new slot, which continues from the estimates of the old one.
     let shorter = with(&|l| l.settings.classes[1].deadline = TimeDelta::from_nanos(7));
     assert_eq!(classes.swap(&shorter)[4], Some(1));
     assert_eq!(
@@ -32,7 +32,7 @@
         order.class.deadline,
         "as the router has it"
     );
-    // The request is over: its slot is free, and so is that of a class that is gone.
+    // After the request has ended, its slot is free, and so is the slot of a class that the settings no longer have.
     drop(order);
     let mut names = NameTable::default();
     for name in ["read", "new", "own"] {
@@ -59,8 +59,8 @@
     assert!(classes.settings().classes.len() < 8);
 }
 
-/// A shutdown must neither take its times from a deadline that new settings have removed, nor end before a request whose
-/// own deadline is longer.
+/// Guards against a shutdown whose schedule follows a deadline that the newest settings no longer have, and against one
+/// that ends before a request in flight whose deadline is longer than those of the newest settings.
 #[test]
 fn longest_wait_after_a_reload_follows_new_settings_but_requests_in_flight_keep_theirs() {
     let text = include_str!("../gateway/settings.json");
--- a/tests/unit/console_call.rs
+++ b/tests/unit/console_call.rs
@@ -1,4 +1,4 @@
-//! The console's calls as they are parsed, and the texts of its answers.
+//! Parsing of the console's calls, and the texts of its answers.
 
 use super::*;
 
--- a/tests/unit/discovery.rs
+++ b/tests/unit/discovery.rs
@@ -1,4 +1,4 @@
-//! Parsing of the HTTP answers of discovery.
+//! Parsing of the HTTP responses of discovery.
 
 use super::{parse_response, ParsedResponse, Response};
 
@@ -51,7 +51,7 @@
     );
 }
 
-/// Guards against a body without a length that counts as complete while its connection is open.
+/// Guards against treating a body without a length as complete while its connection is still open.
 #[test]
 fn answer_without_a_length_is_parsed_once_its_connection_has_ended() {
     let plain = b"HTTP/1.1 200 OK\r\n\r\nhello";
--- a/tests/unit/dropped_input.rs
+++ b/tests/unit/dropped_input.rs
@@ -1,4 +1,4 @@
-//! Messages that are dropped and counted.
+//! Messages that are dropped, while their queries are counted.
 
 use super::*;
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
     [&[tag], &length[..], &vec![b'x'; body_length]].concat()
 }
 
-/// Takes all that follows, up to what cannot be taken.
+/// Takes messages up to the first that is not a query. Returns the number of queries and that message, if there is one.
 fn drain(input: &mut DroppedInput) -> (usize, Option<DroppedMessage>) {
     let mut queries = 0;
     loop {
@@ -20,7 +20,7 @@
 }
 
 proptest! {
-    /// Guards against a query that is not counted, or counted twice, wherever the bytes are split.
+    /// Guards against a query that is not counted, or is counted twice, because its bytes arrive in several reads.
     #[test]
     fn queries_are_counted_over_every_split(
         lengths in prop::collection::vec(0_usize..300, 1..30),
@@ -54,7 +54,7 @@
             prop_assert_eq!(rest, None);
             prop_assert!(!input.is_active());
         }
-        // What is missing becomes whole with the rest of the bytes, and nothing else does.
+        // The rest of the bytes completes exactly the queries that were not complete before.
         input.drop_bytes(&bytes[received..]);
         prop_assert_eq!(drain(&mut input), (messages.len() - whole, None));
     }
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -1,4 +1,4 @@
-//! The documents that versions of this program exchange, and the usage that they report.
+//! The documents that processes exchange during a hot restart, and the usage that they report.
 
 use super::*;
 use serde_json::{json, Value};
@@ -11,7 +11,7 @@
     }
 }
 
-/// Other versions read these keys, and a key that they do not know is dropped without an error.
+/// Guards against a changed key: other versions read these keys, and silently ignore a key that they do not know.
 #[test]
 fn hand_over_document_keeps_its_keys() {
     let document = HandOverDocument {
--- a/tests/unit/load_report.rs
+++ b/tests/unit/load_report.rs
@@ -32,7 +32,7 @@
     );
 }
 
-/// Numbers must not overflow, and a position from the future could not be taken back by any later one.
+/// Guards against numbers that overflow, and against a position in the future, which no later report could correct.
 #[test]
 fn load_report_values_that_cannot_be_true_are_left_out() {
     let now = unix_milliseconds(1_767_225_600_000);
--- a/tests/unit/operator_config.rs
+++ b/tests/unit/operator_config.rs
@@ -1,4 +1,4 @@
-//! The operators' file: defaults, keys and checks.
+//! Defaults, keys and checks of the operators' file.
 
 use super::*;
 
@@ -42,7 +42,7 @@
     assert!(error.to_string().contains("colour"), "{error}");
 }
 
-/// The keys are the operators' interface: each is read into the field that it stands for.
+/// Guards against a changed key, because the keys are an interface to operators: each must set its field.
 #[test]
 fn file_with_every_key_is_read_into_the_fields() {
     let file = std::env::temp_dir().join(format!("irisrouter-all-keys-{}", std::process::id()));
--- a/tests/unit/poll_interval.rs
+++ b/tests/unit/poll_interval.rs
@@ -1,15 +1,15 @@
-//! The times of calls to discovery.
+//! The times at which discovery is called.
 
 use super::{
     PollPacer, MAX_RETRY_DELAY, MAX_SHARED_RETRY_DELAY, SHARED_HOLD, SHARED_START_INTERVAL,
 };
 use std::time::Duration;
 
-/// A change has to be known this time after discovery has it and can be reached.
+/// The gateway must know a change within this time after discovery has it and can be reached.
 const CHANGE_DEADLINE: Duration = Duration::from_secs(6);
 
-/// Guards against gateways that overload a shared service by calling at the same time and without end, and against a
-/// gateway that calls its own agent late.
+/// Guards against gateways that overload a shared discovery service because they call it at the same time or without
+/// pause, and against a gateway that calls its own agent late.
 #[test]
 fn polls_of_a_shared_service_are_rare_and_spread_and_those_of_an_agent_start_at_once() {
     let shared_by = Some(48);
@@ -49,8 +49,8 @@
     assert!((0..20).all(|_| of_agent.retry_delay(None) <= MAX_RETRY_DELAY));
 }
 
-/// Guards against holds and pauses that add up to more than the time in which a change has to be known: a watch that
-/// breaks in the instant in which it begins, and then one more call that fails, is refused or is never answered.
+/// Guards against time limits and pauses that add up to more than [`CHANGE_DEADLINE`]: in the worst case a watch breaks
+/// at the moment when it begins, and the next call fails, is refused or is never answered.
 #[test]
 fn broken_watch_and_another_failed_call_leave_a_change_known_within_its_deadline() {
     for seed in 0..200 {
--- a/tests/unit/read_times.rs
+++ b/tests/unit/read_times.rs
@@ -1,12 +1,12 @@
-//! Arrival times of a client's bytes.
+//! The arrival times of a client's bytes.
 
 use super::*;
 use proptest::prelude::*;
 use std::time::Duration;
 
 proptest! {
-    /// Guards against a request whose time counts from another byte than its last: a burst of messages is split into reads
-    /// at any place, and its messages are taken one by one.
+    /// Guards against a request whose deadline counts from the arrival of a byte other than its last. Such an error can
+    /// occur when the reads split a burst of messages at any place and the messages are then consumed one by one.
     #[test]
     fn message_arrives_with_the_read_that_holds_its_last_byte(
         messages in prop::collection::vec(1_usize..60, 1..40),
--- a/tests/unit/serving_state.rs
+++ b/tests/unit/serving_state.rs
@@ -1,8 +1,8 @@
-//! The modes of the process and the order in which they follow one another.
+//! The modes of the process, and the transitions between them.
 
 use super::*;
 
-/// Guards against a drain that is undone by the end of the process, and an end that is undone by the console.
+/// Guards against a drain that a shutdown ends, and against a shutdown that the console ends.
 #[test]
 fn drain_is_undone_by_activate_and_a_stop_by_nothing() {
     let serving_state = ServingState::default();
--- a/tests/unit/shutdown.rs
+++ b/tests/unit/shutdown.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-/// Guards against requests that are accepted with no time left, and against times that belong to one customer's
-/// deadlines.
+/// Guards against requests that are accepted when no time is left to answer them, and against times that suit only the
+/// deadlines of one customer.
 #[test]
 fn schedule_leaves_the_last_request_time_for_its_answer_whatever_the_deadlines_are() {
     for ms in [
