--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -135,8 +135,8 @@
     /// Returns the first key that this file has and `new` lacks. A file that was truncated or edited wrongly may still
     /// be valid JSON, and a default could silently replace the missing value.
     pub(super) fn first_key_missing_in(&self, new: &Self) -> Option<String> {
-        let no_limits = Limits::default();
-        let lost = [
+        let default_limits = Limits::default();
+        let required_keys = [
             ("name", !self.name.is_empty() && new.name.is_empty()),
             ("listen", self.listen.is_some() && new.listen.is_none()),
             (
@@ -145,11 +145,13 @@
             ),
             (
                 "limits",
-                self.limits != no_limits && new.limits == no_limits,
+                self.limits != default_limits && new.limits == default_limits,
             ),
         ];
-        let first_lost = lost.into_iter().find(|(_, is_lost)| *is_lost);
-        first_lost
+        let first_missing = required_keys
+            .into_iter()
+            .find(|(_, is_missing)| *is_missing);
+        first_missing
             .map(|(key, _)| key.to_string())
             .or_else(|| find_missing_key(&self.settings, &new.settings))
     }
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -111,8 +111,9 @@
             hot_restart_socket: environment.hot_restart_socket,
             peers: file.peers(&platform, membership),
             operators,
-            descriptor_limit: at_most(file.limits.sockets, DEFAULT_DESCRIPTOR_LIMIT),
-            memory_limit: at_most(file.limits.memory_mb, DEFAULT_MEMORY_LIMIT_MB) << MEBIBYTE_SHIFT,
+            descriptor_limit: lower_limit(file.limits.sockets, DEFAULT_DESCRIPTOR_LIMIT),
+            memory_limit: lower_limit(file.limits.memory_mb, DEFAULT_MEMORY_LIMIT_MB)
+                << MEBIBYTE_SHIFT,
             platform,
             file,
             path,
@@ -155,8 +156,8 @@
 }
 
 /// Returns the file's limit if it is lower than the platform's, otherwise the platform's.
-fn at_most(limit: Option<usize>, platform_limit: usize) -> usize {
-    limit.unwrap_or(platform_limit).min(platform_limit)
+fn lower_limit(limit: Option<usize>, platform_maximum: usize) -> usize {
+    limit.unwrap_or(platform_maximum).min(platform_maximum)
 }
 
 /// The values of the environment variables. An empty variable counts as not set, except for the gateway's name.
--- a/src/net/config/operator_config.rs
+++ b/src/net/config/operator_config.rs
@@ -247,8 +247,8 @@
     }
 
     fn check_leases_need_membership(&self) -> Option<Problem> {
-        let unmet = self.leases.enabled && !self.membership.enabled;
-        unmet.then(|| Problem::new("/takeover/enabled", "needs /membership/enabled"))
+        let dependency_missing = self.leases.enabled && !self.membership.enabled;
+        dependency_missing.then(|| Problem::new("/takeover/enabled", "needs /membership/enabled"))
     }
 
     fn check_lease_settings(&self) -> Option<Problem> {
@@ -261,14 +261,14 @@
     }
 
     fn check_site_failover_needs_leases(&self) -> Option<Problem> {
-        let unmet = self.site_failover.enabled && !self.leases.enabled;
-        unmet.then(|| Problem::new("/sites/enabled", "needs /takeover/enabled"))
+        let dependency_missing = self.site_failover.enabled && !self.leases.enabled;
+        dependency_missing.then(|| Problem::new("/sites/enabled", "needs /takeover/enabled"))
     }
 
     fn check_site_capacity(&self) -> Option<Problem> {
         let capacity = self.site_failover.capacity_per_s;
-        let is_given = capacity > 0.0 && capacity.is_finite();
-        let missing = self.site_failover.enabled && !is_given;
+        let is_valid = capacity > 0.0 && capacity.is_finite();
+        let missing = self.site_failover.enabled && !is_valid;
         missing.then(|| {
             Problem::new(
                 "/sites/capacity_per_s",
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -150,7 +150,7 @@
 pub struct HotRestart {
     socket_path: PathBuf,
     dependencies: Dependencies,
-    usage_of_others: UsageBySide,
+    neighbor_usage: UsageBySide,
 }
 
 impl HotRestart {
@@ -159,17 +159,17 @@
         Self {
             socket_path,
             dependencies,
-            usage_of_others: UsageBySide::default(),
+            neighbor_usage: UsageBySide::default(),
         }
     }
 
     /// Takes over from an older process, if there is one; from then on both share the limits. Returns the revision of
     /// the older process's endpoint list, or `None` if there was no hand-over.
     pub async fn take_over(self: &Rc<Self>) -> Option<Revision> {
-        let receiving = timeout(HAND_OVER_TIMEOUT, self.receive_document()).await;
+        let hand_over = timeout(HAND_OVER_TIMEOUT, self.receive_document()).await;
         // If there is no predecessor, or it is too slow, or its document cannot be read, this process starts without a
         // hand-over.
-        let (stream, document) = receiving.ok()?.ok()?;
+        let (stream, document) = hand_over.ok()?.ok()?;
         let revision = document.endpoint_list.revision;
         log!(
             "an older process hands over a list of {}",
@@ -263,12 +263,12 @@
     /// Reports the usage to the process on one side, and receives its reports, until the connection ends.
     async fn share_limits(&self, side: Side, stream: BufReader<UnixStream>) {
         let (reader, writer) = tokio::io::split(stream);
-        let ended: io::Result<Infallible> = tokio::select! {
-            ended = self.send_usage(side, writer) => ended,
-            ended = self.receive_usage(side, BufReader::new(reader)) => ended,
+        let result: io::Result<Infallible> = tokio::select! {
+            result = self.send_usage(side, writer) => result,
+            result = self.receive_usage(side, BufReader::new(reader)) => result,
         };
         // Whatever ended the connection, the process on that side counts as one that uses no resources any more.
-        let _ = ended;
+        let _ = result;
         self.set_usage(side, ResourceUsage::default());
     }
 
@@ -304,18 +304,18 @@
     /// Returns the usage that is reported to the process on one side: that of this process plus that of the process on
     /// the other side.
     fn usage_for(&self, side: Side) -> ResourceUsage {
-        let own = ResourceUsage {
+        let local_usage = ResourceUsage {
             client_descriptors: self.dependencies.connection_limit.open_connections()
                 + RESERVED_DESCRIPTORS,
             upstream_connections: self.dependencies.upstream.open_connections(),
             message_memory: self.dependencies.buffers.extra_bytes(),
         };
-        own + self.usage_of_others.get(side.opposite())
+        local_usage + self.neighbor_usage.get(side.opposite())
     }
 
     fn set_usage(&self, side: Side, usage: ResourceUsage) {
-        self.usage_of_others.set(side, usage);
-        let total = self.usage_of_others.total();
+        self.neighbor_usage.set(side, usage);
+        let total = self.neighbor_usage.total();
         let parts = &self.dependencies;
         parts
             .connection_limit
--- a/src/net/lifecycle/cluster_startup.rs
+++ b/src/net/lifecycle/cluster_startup.rs
@@ -51,15 +51,15 @@
 
 /// Builds membership if the operators enabled it and the platform lets gateways exchange datagrams.
 fn membership(config: &Config, parts: &SharedParts) -> Option<Rc<MembershipService>> {
-    let wanted = &config.operators.membership;
-    let allowed = wanted.enabled && config.platform.peers_allowed;
+    let operator_settings = &config.operators.membership;
+    let allowed = operator_settings.enabled && config.platform.peers_allowed;
     let peers = config.peers.as_ref().filter(|_| allowed)?;
     let fleet_size = peers.gateway_addresses.len() as u32;
     let unix_s = u64::try_from(parts.clock.now().as_nanos() / NS_PER_S).unwrap_or(0);
     let seed = u64::from(peers.local_gateway.0).wrapping_mul(SEED_MULTIPLIER) ^ unix_s;
     MembershipService::new(
         peers,
-        wanted.for_fleet(fleet_size),
+        operator_settings.for_fleet(fleet_size),
         unix_s,
         seed,
         Rc::clone(&parts.metrics),
@@ -75,14 +75,14 @@
     parts: &SharedParts,
     membership: Option<&Rc<MembershipService>>,
 ) -> Option<Rc<LeaseService>> {
-    let wanted = &config.operators.leases;
-    let allowed = wanted.enabled && config.platform.health_checks_allowed;
+    let operator_settings = &config.operators.leases;
+    let allowed = operator_settings.enabled && config.platform.health_checks_allowed;
     let peers = config.peers.as_ref().filter(|_| allowed)?;
     LeaseService::new(
         Rc::clone(membership?),
         peers.gateway_addresses.clone(),
-        wanted.lease_ms,
-        wanted.fence_health_checks,
+        operator_settings.lease_ms,
+        operator_settings.fence_health_checks,
         Rc::clone(&parts.metrics),
     )
     .map_err(|error| log!("takeover is off: {error}"))
@@ -96,8 +96,8 @@
     parts: &SharedParts,
     membership: Option<&Rc<MembershipService>>,
 ) -> Option<Rc<WriteIntentService>> {
-    let wanted = &config.operators.leases;
-    let enabled = wanted.enabled && wanted.write_intents;
+    let operator_settings = &config.operators.leases;
+    let enabled = operator_settings.enabled && operator_settings.write_intents;
     let peers = config.peers.as_ref().filter(|_| enabled)?;
     Some(Rc::new(WriteIntentService::new(
         Rc::clone(membership?),
@@ -136,8 +136,8 @@
     membership: Option<&Rc<MembershipService>>,
     leases: Option<&Rc<LeaseService>>,
 ) -> Option<Rc<EndpointWatchService>> {
-    let wanted = &config.operators.leases;
-    if !wanted.shared_endpoint_watch {
+    let operator_settings = &config.operators.leases;
+    if !operator_settings.shared_endpoint_watch {
         return None;
     }
     if !config.platform.settings.endpoint_list_on_request {
@@ -148,7 +148,7 @@
         Rc::clone(membership?),
         Rc::clone(leases?),
         Rc::clone(&parts.upstream),
-        wanted.lease_ms,
+        operator_settings.lease_ms,
         Rc::clone(&parts.metrics),
     )))
 }
@@ -160,16 +160,16 @@
     membership: Option<&Rc<MembershipService>>,
     leases: Option<&Rc<LeaseService>>,
 ) -> Result<Option<Rc<SiteFailoverService>>, StartupError> {
-    let wanted = &config.operators.site_failover;
+    let operator_settings = &config.operators.site_failover;
     let (Some(membership), Some(leases)) = (membership, leases) else {
         return Ok(None);
     };
-    let Some(peers) = config.peers.as_ref().filter(|_| wanted.enabled) else {
+    let Some(peers) = config.peers.as_ref().filter(|_| operator_settings.enabled) else {
         return Ok(None);
     };
     let zones = names(&config.platform.zones);
     let classes = names(&config.platform.classes);
-    let settings = wanted.for_zones(&zones, &classes)?;
+    let settings = operator_settings.for_zones(&zones, &classes)?;
     let dependencies = site_failover::Dependencies {
         membership: Rc::clone(membership),
         leases: Rc::clone(leases),
@@ -185,7 +185,7 @@
     };
     let site_failover_config = site_failover::SiteFailoverConfig {
         settings,
-        capacity_per_s: wanted.capacity_per_s,
+        capacity_per_s: operator_settings.capacity_per_s,
     };
     let service = SiteFailoverService::new(dependencies, names, site_failover_config, peers)
         .map_err(|error| StartupError::SiteFailover(error.into()))?;
--- a/src/net/lifecycle/peer_socket_task.rs
+++ b/src/net/lifecycle/peer_socket_task.rs
@@ -68,17 +68,17 @@
     /// Opens the socket as soon as no other process holds its address. During a hot restart that is when the older
     /// process has ended.
     async fn open_when_free(&self) -> Rc<PeerSocket> {
-        let mut waited = false;
+        let mut open_failed = false;
         loop {
             match self.open() {
                 Ok(socket) => {
-                    if waited {
+                    if open_failed {
                         log!("peer socket: open at {}", self.peers.listen_address);
                     }
                     return socket;
                 }
-                Err(error) if !waited => {
-                    waited = true;
+                Err(error) if !open_failed => {
+                    open_failed = true;
                     log!("peer socket: not open yet, will be tried again: {error}");
                 }
                 Err(_) => {}
--- a/src/net/lifecycle/shared_parts.rs
+++ b/src/net/lifecycle/shared_parts.rs
@@ -40,14 +40,14 @@
         let metrics = Rc::<Metrics>::default();
         let buffers = Pool::new(config.memory_limit / BUFFER_MEMORY_DIVISOR);
         let router = Rc::<RouterHandle>::default();
-        let router_of_upstream = Rc::clone(&router);
+        let router_handle = Rc::clone(&router);
         let upstream = Upstream::new(
             &config.platform,
             descriptors.upstream_connections,
             Rc::clone(&buffers),
             Rc::clone(&metrics),
             clock,
-            Box::new(move |event| router_of_upstream.post(event)),
+            Box::new(move |event| router_handle.post(event)),
         );
         Self {
             clock,
--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -16,9 +16,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// The platform kills the process at the earliest this long after the longest deadline, counted from the signal.
+/// Minimum time from the longest deadline, counted from the signal, to the kill of the process by the platform.
 const KILL_DELAY: Duration = Duration::from_millis(700);
-/// The platform counts a longer deadline as this long when it sets the time of the kill.
+/// Longest deadline that the platform takes into account for the time of the kill. A longer one counts as this long.
 const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Time after the signal during which all new connections are accepted. Clients open them for up to 0.4 s after the
 /// signal; the rest is a margin.
@@ -31,7 +31,8 @@
 /// answer to the kill is then at most one third of it.
 const ANSWERS_END_DIVISOR: u32 = 3;
 /// The gateway still reads from clients during one third of the time from the last answer to the kill. The other two
-/// thirds are for closing the connections, which takes longer than the 0.15 s for which a machine may be paused.
+/// thirds are for closing the connections: 0.2 s of the 0.3 s of [`ANSWERS_END_BEFORE_KILL`], which is longer than the
+/// 0.15 s for which a machine may be paused.
 const READ_DIVISOR: u32 = 3;
 /// Minimum time that clients have to close their side of a connection that the gateway has closed.
 const LAST_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
@@ -54,17 +55,19 @@
 impl ShutdownSchedule {
     /// Returns the schedule for the longest deadline among the classes of the newest settings.
     pub fn new(longest_deadline: Duration) -> Self {
-        let killed = longest_deadline.min(LONGEST_COUNTED_DEADLINE) + KILL_DELAY;
-        let accept_requests_until = killed
+        let kill_at = longest_deadline.min(LONGEST_COUNTED_DEADLINE) + KILL_DELAY;
+        let accept_requests_until = kill_at
             .saturating_sub(REQUESTS_END_BEFORE_KILL)
             .max(NEW_CONNECTIONS_PERIOD);
-        let left = killed - accept_requests_until;
-        let answers_end_before_kill = ANSWERS_END_BEFORE_KILL.min(left / ANSWERS_END_DIVISOR);
+        let last_request_to_kill = kill_at - accept_requests_until;
+        let answers_end_before_kill =
+            ANSWERS_END_BEFORE_KILL.min(last_request_to_kill / ANSWERS_END_DIVISOR);
         Self {
             accept_all_until: NEW_CONNECTIONS_PERIOD,
             accept_requests_until,
-            answer_by: killed - answers_end_before_kill,
-            read_until: killed - (answers_end_before_kill - answers_end_before_kill / READ_DIVISOR),
+            answer_by: kill_at - answers_end_before_kill,
+            read_until: kill_at
+                - (answers_end_before_kill - answers_end_before_kill / READ_DIVISOR),
         }
     }
 }
@@ -153,16 +156,16 @@
     }
 }
 
-/// Waits until all connections are closed and all requests have ended, but no longer than the longest deadline of a
-/// request in flight, and no longer than [`LAST_CLOSE_TIMEOUT`] where that deadline is shorter. A request keeps the
-/// deadline of the class with which it arrived, even if the settings have changed since.
+/// Waits until all connections are closed and all requests have ended. The wait is limited to the longest deadline of
+/// the requests in flight, or to [`LAST_CLOSE_TIMEOUT`] if that is longer. A request keeps the deadline of the class
+/// with which it arrived, even if the settings have changed since.
 async fn finish_open_requests(parts: &SharedParts, client_listener: &ClientListener) {
-    let longest = parts.classes.longest_wait_held().max(LAST_CLOSE_TIMEOUT);
-    let end = Instant::now() + longest;
+    let time_limit = parts.classes.longest_wait_held().max(LAST_CLOSE_TIMEOUT);
+    let deadline = Instant::now() + time_limit;
     let has_work = || {
         client_listener.connection_limit.open_connections() > 0 || parts.router.open_requests() > 0
     };
-    while has_work() && Instant::now() < end {
+    while has_work() && Instant::now() < deadline {
         sleep(CHECK_INTERVAL).await;
     }
     let unfinished = parts.router.open_requests();
--- a/src/net/lifecycle/startup.rs
+++ b/src/net/lifecycle/startup.rs
@@ -36,9 +36,9 @@
 
 /// Applies the endpoint list of the configuration file. Returns the position from which discovery continues: the
 /// revision of that list if it has members, otherwise none.
-pub fn apply_known_endpoints(upstream: &Upstream, known: &EndpointList) -> ListPosition {
-    upstream.apply_endpoint_list(known);
-    let revision = (!known.members.is_empty()).then_some(known.revision);
+pub fn apply_known_endpoints(upstream: &Upstream, endpoints: &EndpointList) -> ListPosition {
+    upstream.apply_endpoint_list(endpoints);
+    let revision = (!endpoints.members.is_empty()).then_some(endpoints.revision);
     ListPosition::at(revision)
 }
 
@@ -53,8 +53,8 @@
     services: &ClusterServices,
 ) -> Result<(), StartupError> {
     let listener = bind_console(address)?;
-    let bound = listener.local_addr().map_err(StartupError::LocalAddress)?;
-    log!("operators call {bound}");
+    let local_address = listener.local_addr().map_err(StartupError::LocalAddress)?;
+    log!("operators call {local_address}");
     let console = Console {
         serving_state: Rc::clone(&parts.serving_state),
         membership: services.membership.clone(),
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -25,8 +25,8 @@
     LINE_COUNT.with(|count| {
         let now = Instant::now();
         let mut suppressed = 0;
-        let is_over = |started| now - started >= PERIOD;
-        if count.started.get().is_none_or(is_over) {
+        let has_ended = |started| now - started >= PERIOD;
+        if count.started.get().is_none_or(has_ended) {
             suppressed = count.lines.get().saturating_sub(MAX_LINES_PER_PERIOD);
             count.started.set(Some(now));
             count.lines.set(0);
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,5 @@
-//! The gateway process: the sockets, tasks and timers that carry out the routing decisions. Each module has one task.
+//! The gateway process: the sockets, tasks and timers that carry out the routing decisions. Each module has a single
+//! responsibility.
 //!
 //! The modules are layers. A module may use the modules above it in this list and never one below it, so that it can be
 //! understood and tested without the modules that build on it. `tests/layers` reads this list and checks the rule:
@@ -61,24 +62,24 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
-    unix: Timestamp,
+    unix_at_start: Timestamp,
 }
 
 impl Clock {
     /// Creates a clock that is anchored to the current time of the system clock.
     pub fn new() -> Self {
-        let since = SystemTime::now()
+        let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
             start: Instant::now(),
-            unix: Timestamp::from_nanos(since.as_nanos() as i64),
+            unix_at_start: Timestamp::from_nanos(since_epoch.as_nanos() as i64),
         }
     }
 
     /// Returns the current time as Unix time.
     pub fn now(&self) -> Timestamp {
-        self.unix + TimeDelta::from_nanos(self.start.elapsed().as_nanos() as i64)
+        self.unix_at_start + TimeDelta::from_nanos(self.start.elapsed().as_nanos() as i64)
     }
 }
 
@@ -105,11 +106,11 @@
 ///
 /// Returns an error if the connection has ended.
 pub async fn write_all(stream: &mut tokio::net::TcpStream, bytes: &[u8]) -> io::Result<()> {
-    let mut rest = bytes;
-    while !rest.is_empty() {
-        match stream.write(rest).await {
+    let mut remaining = bytes;
+    while !remaining.is_empty() {
+        match stream.write(remaining).await {
             Ok(0) => return Err(io::ErrorKind::WriteZero.into()),
-            Ok(length) => rest = &rest[length..],
+            Ok(length) => remaining = &remaining[length..],
             Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
             Err(error) if is_short_of_memory(&error) => sleep(MEMORY_RETRY_DELAY).await,
             Err(error) => return Err(error),
@@ -137,8 +138,8 @@
 
 /// Returns the Unix time in milliseconds, which is the same on all machines of the platform.
 pub fn unix_milliseconds() -> u64 {
-    let since = SystemTime::now()
+    let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
-    u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -69,13 +69,13 @@
     zones: NameTable,
     members: HashMap<String, MemberId>,
     member_names: Vec<String>,
-    requests: HashMap<String, RequestId>,
-    open: HashMap<RequestId, OpenRequest>,
+    request_ids: HashMap<String, RequestId>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     next_request: u64,
     /// Events of the current batch.
     events: Vec<Event>,
-    /// Requests to remove after the batch has run if they have ended and none of their attempts is in flight.
-    closing: Vec<RequestId>,
+    /// Requests that are removed after the batch has run if they have ended and none of their attempts is in flight.
+    removal_candidates: Vec<RequestId>,
 }
 
 impl Instance {
@@ -94,11 +94,11 @@
             zones: platform.zones,
             members: HashMap::new(),
             member_names: Vec::new(),
-            requests: HashMap::new(),
-            open: HashMap::new(),
+            request_ids: HashMap::new(),
+            open_requests: HashMap::new(),
             next_request: 0,
             events: Vec::new(),
-            closing: Vec::new(),
+            removal_candidates: Vec::new(),
         })
     }
 
@@ -137,13 +137,13 @@
         let class = class.ok_or_else(|| AdapterError::UnknownClass(request.class.to_string()))?;
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.requests.insert(request.name.to_string(), id);
+        self.request_ids.insert(request.name.to_string(), id);
         let open = OpenRequest {
             name: request.name.into_owned(),
             attempts_in_flight: 0,
             ended: false,
         };
-        self.open.insert(id, open);
+        self.open_requests.insert(id, open);
         let tenant = request.tenant.as_ref().and_then(|tenant| tenant.as_str());
         let last_write_age_ms = request.last_write_age_ms.filter(|&age| age > 0.0);
         let last_write_age =
@@ -164,7 +164,7 @@
 
     /// Adds the start of a streamed answer to the batch.
     pub(super) fn post_streaming(&mut self, request: &str) {
-        if let Some(&id) = self.requests.get(request) {
+        if let Some(&id) = self.request_ids.get(request) {
             self.post(Event::Streaming { id });
         }
     }
@@ -175,15 +175,15 @@
     ///
     /// Returns an error if the outcome is unknown.
     pub(super) fn post_attempt_ended(&mut self, ended: EndedAttempt) -> Result<(), AdapterError> {
-        let id = self.requests.get(ended.request.as_ref()).copied();
+        let id = self.request_ids.get(ended.request.as_ref()).copied();
         let member = self.members.get(ended.member.as_ref()).copied();
         let Some((id, member)) = id.zip(member) else {
             return Ok(());
         };
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
             open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
             open.ended |= ended.finished;
-            self.closing.push(id);
+            self.removal_candidates.push(id);
         }
         let outcome = outcome(ended.outcome)?;
         let status = ended.status.and_then(|bits| self.status(bits));
@@ -203,7 +203,7 @@
 
     /// Adds the disconnection of a request's client to the batch.
     pub(super) fn post_client_gone(&mut self, request: &str) {
-        if let Some(id) = self.requests.get(request).copied() {
+        if let Some(id) = self.request_ids.get(request).copied() {
             self.request_ended(id);
             self.post(Event::ClientGone { id });
         }
@@ -243,24 +243,24 @@
         for action in self.router.batch(now, &events) {
             output.extend(self.wire_action(instance, action));
         }
-        for id in std::mem::take(&mut self.closing) {
-            self.forget_if_over(id);
+        for id in std::mem::take(&mut self.removal_candidates) {
+            self.remove_if_complete(id);
         }
     }
 
-    fn forget_if_over(&mut self, id: RequestId) {
-        let is_over = |open: &OpenRequest| open.ended && open.attempts_in_flight == 0;
-        if self.open.get(&id).is_some_and(is_over) {
-            if let Some(open) = self.open.remove(&id) {
-                self.requests.remove(&open.name);
+    fn remove_if_complete(&mut self, id: RequestId) {
+        let is_complete = |open: &OpenRequest| open.ended && open.attempts_in_flight == 0;
+        if self.open_requests.get(&id).is_some_and(is_complete) {
+            if let Some(open) = self.open_requests.remove(&id) {
+                self.request_ids.remove(&open.name);
             }
         }
     }
 
     fn request_ended(&mut self, id: RequestId) {
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
             open.ended = true;
-            self.closing.push(id);
+            self.removal_candidates.push(id);
         }
     }
 
@@ -299,14 +299,14 @@
 
     fn load_report(&self, metrics: Option<Metrics>) -> Option<LoadReport> {
         let metrics = metrics?;
-        let figure = |name: &str| metrics.get(name).copied().flatten();
+        let value = |name: &str| metrics.get(name).copied().flatten();
         let seconds_to_position =
             |seconds: f64| self.position_zero + TimeDelta::from_nanos_f64(seconds * NS_PER_S);
         Some(LoadReport {
-            position: figure("x0").map(seconds_to_position),
-            primary: figure("x1").map(|flag| flag > 0.5),
-            in_flight: figure("concurrent").or(figure("depth")),
-            cores_in_use: figure("load_share").filter(|share| share.is_finite()),
+            position: value("x0").map(seconds_to_position),
+            primary: value("x1").map(|flag| flag > 0.5),
+            in_flight: value("concurrent").or(value("depth")),
+            cores_in_use: value("load_share").filter(|share| share.is_finite()),
         })
     }
 
@@ -327,7 +327,7 @@
     }
 
     fn request_name(&self, id: RequestId) -> Option<String> {
-        self.open.get(&id).map(|open| open.name.clone())
+        self.open_requests.get(&id).map(|open| open.name.clone())
     }
 
     /// Converts an action to the simulator's form. Returns `None` if its request is no longer open.
@@ -339,7 +339,7 @@
                 member,
                 timeout,
             } => {
-                let open = self.open.get_mut(&id)?;
+                let open = self.open_requests.get_mut(&id)?;
                 open.attempts_in_flight += 1;
                 WireAction::CallOut {
                     i,
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -35,16 +35,16 @@
     pub fn line(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
         // The instances with events in this batch, in the order of their first event.
-        let mut touched: Vec<i64> = Vec::new();
+        let mut instances_to_run: Vec<i64> = Vec::new();
         for event in batch.happened {
-            if let Some(instance) = self.take_event(event, &mut touched)? {
-                if !touched.contains(&instance) {
-                    touched.push(instance);
+            if let Some(instance) = self.handle_event(event, &mut instances_to_run)? {
+                if !instances_to_run.contains(&instance) {
+                    instances_to_run.push(instance);
                 }
             }
         }
         let mut output = Vec::new();
-        for id in touched {
+        for id in instances_to_run {
             let Some(instance) = self.instances.get_mut(&id) else {
                 continue;
             };
@@ -62,11 +62,11 @@
     }
 
     /// Handles an event. Returns the instance that has to run because of it, if any. Removes a killed instance from
-    /// `touched`.
-    fn take_event(
+    /// `instances_to_run`.
+    fn handle_event(
         &mut self,
         event: WireEvent,
-        touched: &mut Vec<i64>,
+        instances_to_run: &mut Vec<i64>,
     ) -> Result<Option<i64>, AdapterError> {
         match event {
             WireEvent::Catalog { set, entries } => {
@@ -81,7 +81,7 @@
             }
             WireEvent::Kill { inst } => {
                 self.instances.remove(&inst);
-                touched.retain(|&id| id != inst);
+                instances_to_run.retain(|&id| id != inst);
                 Ok(None)
             }
             WireEvent::Datagram {} => Ok(None),
@@ -98,12 +98,12 @@
                 }
                 Ok(Some(inst))
             }
-            event => self.take_instance_event(event),
+            event => self.handle_instance_event(event),
         }
     }
 
     /// Handles an event that concerns only its instance. Ignores it if the instance does not exist.
-    fn take_instance_event(&mut self, event: WireEvent) -> Result<Option<i64>, AdapterError> {
+    fn handle_instance_event(&mut self, event: WireEvent) -> Result<Option<i64>, AdapterError> {
         let Some(id) = event.instance() else {
             return Ok(None);
         };
@@ -114,23 +114,23 @@
             WireEvent::Req {
                 call,
                 class,
-                team,
+                tenant,
                 session,
                 deadline,
                 work,
                 group,
-                mark_age_ms,
+                last_write_age_ms,
                 retry,
                 ..
             } => instance.post_request(NewRequest {
                 name: call,
                 class,
-                tenant: team,
+                tenant,
                 session,
                 deadline,
                 work,
                 group,
-                last_write_age_ms: mark_age_ms,
+                last_write_age_ms,
                 retry: retry.unwrap_or(false),
             })?,
             WireEvent::ReportBack {
@@ -140,7 +140,7 @@
                 outcome,
                 elapsed,
                 finished,
-                stand,
+                status,
                 metrics,
                 ..
             } => instance.post_attempt_ended(EndedAttempt {
@@ -150,7 +150,7 @@
                 outcome,
                 elapsed,
                 finished: finished.unwrap_or(false),
-                status: stand,
+                status,
                 metrics,
             })?,
             WireEvent::Probed {
--- a/src/simulator/wire.rs
+++ b/src/simulator/wire.rs
@@ -59,7 +59,7 @@
         #[serde(rename = "TierClass", borrow)]
         class: Cow<'a, str>,
         #[serde(rename = "Team", default)]
-        team: Option<serde_json::Value>,
+        tenant: Option<serde_json::Value>,
         #[serde(rename = "Sess", default, borrow)]
         session: Option<Cow<'a, str>>,
         #[serde(rename = "ClientDeadlineNs")]
@@ -69,7 +69,7 @@
         #[serde(rename = "Shard")]
         group: i64,
         #[serde(rename = "TokenAgeMs", default)]
-        mark_age_ms: Option<f64>,
+        last_write_age_ms: Option<f64>,
         #[serde(rename = "Retry", default)]
         retry: Option<bool>,
     },
@@ -95,7 +95,7 @@
         #[serde(rename = "DoneFlag", default)]
         finished: Option<bool>,
         #[serde(rename = "Stand", default)]
-        stand: Option<i64>,
+        status: Option<i64>,
         #[serde(rename = "Metrics", default, borrow)]
         metrics: Option<Metrics<'a>>,
     },
--- a/tests/layers/main.rs
+++ b/tests/layers/main.rs
@@ -85,7 +85,7 @@
                 None => ROOT_MODULE,
                 Some(name) if name == "*" => ROOT_MODULE,
                 Some(name) => match self.height(name) {
-                    Some(used) if height.is_none_or(|own| used > own) => name,
+                    Some(used) if height.is_none_or(|current| used > current) => name,
                     _ => continue,
                 },
             };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn planted_import_of_a_higher_layer_is_found_in_each_form() {
+fn import_of_a_higher_layer_is_reported_in_every_form() {
     let forms = [
         "use crate::net::lifecycle::startup;",
         "use crate::net::lifecycle;",
@@ -223,7 +223,7 @@
 }
 
 #[test]
-fn import_of_the_whole_tree_is_refused() {
+fn import_of_the_whole_root_module_is_reported() {
     let forms = [
         "use crate::net;",
         "use crate::net::*;",
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn use_of_a_lower_layer_and_of_the_own_one_is_allowed() {
+fn use_of_a_lower_layer_or_the_same_layer_is_allowed() {
     let allowed = [
         "use crate::net::buffers::Pool;",
         "use crate::net::{duration, Clock};",
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -3,7 +3,7 @@
 use irisrouter::simulator::Adapter;
 use serde_json::{json, Value};
 
-fn boot() -> Value {
+fn boot_info() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"AimNs": 500000000, "DeadlineNs": 2000000000, "Effect": effect, "Group": "all", "LateWorth": 0.0,
             "Name": name, "Streamed": false, "WindowNs": 5000000000i64, "Worth": 1.0})
@@ -22,27 +22,27 @@
     })
 }
 
-fn start() -> Adapter {
-    let mut a = Adapter::new();
-    let entry = |m: &str, p: i64| {
-        json!({"Member": m, "Area": "a", "GenerationHw": "x", "Db": 4, "Status": "Ready", "Primary": p,
+fn start_adapter() -> Adapter {
+    let mut adapter = Adapter::new();
+    let entry = |member: &str, primary: i64| {
+        json!({"Member": member, "Area": "a", "GenerationHw": "x", "Db": 4, "Status": "Ready", "Primary": primary,
             "Nominal": 1, "SinceNs": null})
     };
     let line = json!({"TNs": 9000000000i64, "frame": 1, "happened": [
-        {"Init": {"I": 0, "InitSeed": 77, "BootInfo": boot()}},
+        {"Init": {"I": 0, "InitSeed": 77, "BootInfo": boot_info()}},
         {"Catalog": {"SetId": 2, "NodesList": [entry("h1:1", 1), entry("h2:2", 0)]}},
         {"View": {"I": 0, "SetId": 2, "Rev": 1, "Form": "warm_copy"}},
         {"Catalog": {"SetId": 2, "NodesList": []}},
     ]});
     let reply: Value =
-        serde_json::from_str(&a.line(&line.to_string()).expect("reply")).expect("json");
+        serde_json::from_str(&adapter.line(&line.to_string()).expect("reply")).expect("json");
     assert_eq!(reply["frame"], 1);
-    a
+    adapter
 }
 
-fn ask(a: &mut Adapter, t: i64, happened: Value) -> Vec<Value> {
-    let line = json!({"TNs": t, "frame": 2, "happened": happened}).to_string();
-    let reply: Value = serde_json::from_str(&a.line(&line).expect("reply")).expect("json");
+fn send_events(adapter: &mut Adapter, now_ns: i64, happened: Value) -> Vec<Value> {
+    let line = json!({"TNs": now_ns, "frame": 2, "happened": happened}).to_string();
+    let reply: Value = serde_json::from_str(&adapter.line(&line).expect("reply")).expect("json");
     reply["output"].as_array().expect("output").clone()
 }
 
@@ -53,33 +53,42 @@
 }
 
 #[test]
-fn a_request_goes_out_and_its_end_comes_back() {
-    let mut a = start();
-    let out = ask(&mut a, 9001000000, json!([request("r/1", "pay")]));
-    let golden =
+fn request_starts_an_attempt_and_fails_when_the_attempt_times_out() {
+    let mut adapter = start_adapter();
+    let output = send_events(&mut adapter, 9001000000, json!([request("r/1", "pay")]));
+    let expected =
         json!({"CallOut": {"I": 0, "Call": "r/1", "Member": "h1:1", "LimitNs": 1999000000}});
-    assert!(out.contains(&golden), "{out:?}");
+    assert!(output.contains(&expected), "{output:?}");
     let end = json!({"ReportBack": {"I": 0, "Call": "r/1", "SeqNo": 0, "Member": "h1:1", "Disposition": 3,
         "LagNs": 5, "DoneFlag": false, "Stand": 0, "Metrics": null}});
-    let out = ask(&mut a, 9002000000, json!([end.clone()]));
-    assert_eq!(out, vec![json!({"DropRequest": {"I": 0, "Call": "r/1"}})]);
+    let output = send_events(&mut adapter, 9002000000, json!([end.clone()]));
+    assert_eq!(
+        output,
+        vec![json!({"DropRequest": {"I": 0, "Call": "r/1"}})]
+    );
     // A repeated end of the attempt, a request that has ended and an unknown instance are ignored.
     let late =
         json!([end, {"Vanished": {"I": 0, "Call": "r/1"}}, {"Vanished": {"I": 9, "Call": "x"}}]);
-    assert_eq!(ask(&mut a, 9003000000, late), Vec::<Value>::new());
+    assert_eq!(
+        send_events(&mut adapter, 9003000000, late),
+        Vec::<Value>::new()
+    );
 }
 
 #[test]
-fn a_killed_instance_forgets_and_starts_again_in_one_batch() {
-    let mut a = start();
+fn instance_restarted_in_a_batch_sends_no_requests_of_the_killed_one() {
+    let mut adapter = start_adapter();
     let events = json!([request("r/2", "look"), {"Kill": {"I": 0}},
-        {"Init": {"I": 0, "InitSeed": -3, "BootInfo": boot()}}]);
-    let out = ask(&mut a, 9001000000, events);
-    assert!(!out.iter().any(|o| o.get("CallOut").is_some()), "{out:?}");
+        {"Init": {"I": 0, "InitSeed": -3, "BootInfo": boot_info()}}]);
+    let output = send_events(&mut adapter, 9001000000, events);
+    assert!(
+        !output.iter().any(|action| action.get("CallOut").is_some()),
+        "{output:?}"
+    );
 }
 
 #[test]
-fn malformed_input_is_told_plainly() {
+fn malformed_input_is_an_error_that_names_the_fault() {
     for line in [
         "",
         "{",
@@ -89,10 +98,10 @@
         let error = Adapter::new().line(line).expect_err("an error").to_string();
         assert!(error.starts_with("malformed batch"), "{error}");
     }
-    let mut a = start();
+    let mut adapter = start_adapter();
     let line =
         json!({"TNs": 9001000000i64, "frame": 2, "happened": [request("r/3", "unheard-of")]});
-    assert!(a
+    assert!(adapter
         .line(&line.to_string())
         .expect_err("an error")
         .to_string()
--- a/tests/unit/buffers.rs
+++ b/tests/unit/buffers.rs
@@ -14,12 +14,12 @@
     );
     assert!(
         other.append(&[2; BUFFER_SIZE]),
-        "the usual size needs none of it"
+        "a message of the usual size needs no budget"
     );
     drop(large);
     assert!(
         other.append(&[2; 1]),
-        "and what is given back can be had again"
+        "budget that was released can be used again"
     );
     drop(other);
     let reused = pool.acquire();
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -11,7 +11,7 @@
     let text = include_str!("../gateway/settings.json");
     let first =
         PlatformSettings::parse(&serde_json::from_str(text).expect("json"), 1).expect("settings");
-    let with = |change: &dyn Fn(&mut PlatformSettings)| {
+    let with_change = |change: &dyn Fn(&mut PlatformSettings)| {
         let mut loaded = first.clone();
         change(&mut loaded);
         loaded
@@ -21,7 +21,7 @@
     let order = classes.find("order").expect("a class");
     assert_eq!((slot("read"), order.slot), (Some(0), 1));
     // A class that changes while a request holds it gets a new slot, which continues from the estimates of the old one.
-    let shorter = with(&|l| l.settings.classes[1].deadline = TimeDelta::from_nanos(7));
+    let shorter = with_change(&|l| l.settings.classes[1].deadline = TimeDelta::from_nanos(7));
     assert_eq!(classes.swap(&shorter)[4], Some(1));
     assert_eq!(
         (slot("order"), order.class.deadline),
@@ -30,7 +30,7 @@
     assert_eq!(
         classes.settings().classes[1].deadline,
         order.class.deadline,
-        "as the router has it"
+        "the router's settings have the changed class"
     );
     // After the request has ended, its slot is free, and so is the slot of a class that the settings no longer have.
     drop(order);
@@ -38,21 +38,21 @@
     for name in ["read", "new", "own"] {
         names.number(name);
     }
-    let other = with(&|l| {
+    let other = with_change(&|l| {
         l.classes = names.clone();
         l.settings.classes.truncate(3);
     });
     assert_eq!(
         classes.swap(&other)[1],
         None,
-        "nothing is known of a new class"
+        "a new class continues from the estimates of no slot"
     );
     assert_eq!(
         (slot("new"), slot("order"), slot("once")),
         (Some(1), None, None)
     );
     for deadline in 1..50 {
-        classes.swap(&with(&|l| {
+        classes.swap(&with_change(&|l| {
             l.settings.classes[0].deadline = TimeDelta::from_nanos(deadline)
         }));
     }
--- a/tests/unit/config.rs
+++ b/tests/unit/config.rs
@@ -69,6 +69,7 @@
     assert_eq!(environment.listener_source, ListenerSource::Inherited);
     let socket = environment.hot_restart_socket;
     assert_eq!(socket, Some(PathBuf::from("/shared/irisrouter.sock")));
-    let alone = Environment::new(&|name: &str| variable(name).filter(|_| name == "TMPDIR"));
-    assert_eq!(alone.hot_restart_socket, None);
+    let without_inherited_socket =
+        Environment::new(&|name: &str| variable(name).filter(|_| name == "TMPDIR"));
+    assert_eq!(without_inherited_socket.hot_restart_socket, None);
 }
--- a/tests/unit/dropped_input.rs
+++ b/tests/unit/dropped_input.rs
@@ -9,7 +9,7 @@
 }
 
 /// Takes messages up to the first that is not a query. Returns the number of queries and that message, if there is one.
-fn drain(input: &mut DroppedInput) -> (usize, Option<DroppedMessage>) {
+fn take_queries(input: &mut DroppedInput) -> (usize, Option<DroppedMessage>) {
     let mut queries = 0;
     loop {
         match input.next() {
@@ -48,7 +48,7 @@
                 end <= received
             })
             .count();
-        let (queries, rest) = drain(&mut input);
+        let (queries, rest) = take_queries(&mut input);
         prop_assert_eq!(queries, whole);
         if whole == messages.len() {
             prop_assert_eq!(rest, None);
@@ -56,12 +56,12 @@
         }
         // The rest of the bytes completes exactly the queries that were not complete before.
         input.drop_bytes(&bytes[received..]);
-        prop_assert_eq!(drain(&mut input), (messages.len() - whole, None));
+        prop_assert_eq!(take_queries(&mut input), (messages.len() - whole, None));
     }
 }
 
 #[test]
-fn missing_bytes_never_reach_into_the_next_message() {
+fn reported_missing_bytes_never_extend_into_the_next_message() {
     let bytes = message(b'Q', 100);
     let mut input = DroppedInput::default();
     input.drop_bytes(&bytes[..3]);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn last_message_stands_behind_the_queries_and_nothing_counts_behind_it() {
+fn message_that_ends_the_input_follows_the_queries_and_later_queries_are_not_counted() {
     for (last, expected) in [
         (message(b'X', 0), DroppedMessage::Terminate),
         (message(b'?', 0), DroppedMessage::Violation),
@@ -89,12 +89,12 @@
     ] {
         let mut input = DroppedInput::default();
         input.drop_bytes(&[message(b'Q', 9), last, message(b'Q', 9)].concat());
-        assert_eq!(drain(&mut input), (1, Some(expected)));
+        assert_eq!(take_queries(&mut input), (1, Some(expected)));
     }
 }
 
 #[test]
-fn flood_is_one_until_it_is_answered() {
+fn input_is_a_flood_until_its_queries_are_taken() {
     let mut input = DroppedInput::default();
     let query = message(b'Q', 60_000);
     let mut sent = 0;
@@ -103,6 +103,6 @@
         sent += 1;
     }
     assert!(sent * query.len() < FLOOD_SIZE + query.len());
-    assert_eq!(drain(&mut input), (sent, None));
+    assert_eq!(take_queries(&mut input), (sent, None));
     assert!(!input.is_flood());
 }
--- a/tests/unit/operator_config.rs
+++ b/tests/unit/operator_config.rs
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn ping_period_scales_every_time_and_a_pause_stays_short_of_death() {
+fn ping_period_scales_all_intervals_and_suspicion_outlasts_the_tolerated_pause() {
     let membership = MembershipConfig {
         enabled: true,
         ping_period_ms: 200,
--- a/tests/unit/poll_interval.rs
+++ b/tests/unit/poll_interval.rs
@@ -44,9 +44,9 @@
                 && pacer.call_limits(shared_by).hold >= SHARED_HOLD / 2
         );
     }
-    let mut of_agent = PollPacer::new(1);
-    assert_eq!(of_agent.first_delay(None), Duration::ZERO);
-    assert!((0..20).all(|_| of_agent.retry_delay(None) <= MAX_RETRY_DELAY));
+    let mut agent_pacer = PollPacer::new(1);
+    assert_eq!(agent_pacer.first_delay(None), Duration::ZERO);
+    assert!((0..20).all(|_| agent_pacer.retry_delay(None) <= MAX_RETRY_DELAY));
 }
 
 /// Guards against time limits and pauses that add up to more than [`CHANGE_DEADLINE`]: in the worst case a watch breaks
@@ -58,16 +58,20 @@
         pacer.answered();
         let watch = pacer.call_limits(None).silence;
         let pause = pacer.retry_delay(None);
-        let again = pacer.call_limits(None);
-        assert_eq!(again.hold, Duration::ZERO, "missed changes arrive at once");
-        let two = watch
+        let next_call = pacer.call_limits(None);
+        assert_eq!(
+            next_call.hold,
+            Duration::ZERO,
+            "missed changes arrive at once"
+        );
+        let total = watch
             + pause
-            + again.silence
+            + next_call.silence
             + pacer.retry_delay(None)
             + pacer.call_limits(None).silence;
         assert!(
-            two <= CHANGE_DEADLINE,
-            "a silent watch and a silent call: {two:?}"
+            total <= CHANGE_DEADLINE,
+            "a silent watch and a silent call: {total:?}"
         );
     }
 }
--- a/tests/unit/read_times.rs
+++ b/tests/unit/read_times.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn reads_are_bounded_and_never_later_than_they_were() {
+fn read_count_is_bounded_and_arrival_times_are_never_later_than_recorded() {
     let start = Instant::now();
     let mut times = ReadTimes::default();
     for read in 0..10 * MAX_READS {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn forgotten_bytes_leave_the_times_of_those_before_them() {
+fn forgetting_the_last_bytes_keeps_the_times_of_earlier_ones() {
     let start = Instant::now();
     let at = |read: u64| start + Duration::from_millis(read);
     let mut times = ReadTimes::default();
--- a/tests/unit/service_clock.rs
+++ b/tests/unit/service_clock.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn time_until_work_is_due_is_bounded_below_by_none_and_above_by_the_longest_sleep() {
+fn time_until_due_work_is_between_zero_and_the_longest_sleep() {
     let now = Timestamp::from_millis(5_000);
     let time_until = |due_ms| ServiceClock::time_until(now, Timestamp::from_millis(due_ms));
     assert_eq!(time_until(0), Duration::ZERO);
--- a/tests/unit/serving_state.rs
+++ b/tests/unit/serving_state.rs
@@ -4,7 +4,7 @@
 
 /// Guards against a drain that a shutdown ends, and against a shutdown that the console ends.
 #[test]
-fn drain_is_undone_by_activate_and_a_stop_by_nothing() {
+fn activate_ends_a_drain_but_nothing_ends_a_shutdown() {
     let serving_state = ServingState::default();
     serving_state.mark_ready();
     serving_state.evacuate();
--- a/tests/unit/shutdown.rs
+++ b/tests/unit/shutdown.rs
@@ -10,7 +10,7 @@
         1, 20, 150, 300, 500, 800, 1_000, 2_000, 2_999, 3_000, 12_000, 86_400_000,
     ] {
         let longest = Duration::from_millis(ms);
-        let killed = longest.min(LONGEST_COUNTED_DEADLINE) + KILL_DELAY;
+        let kill_at = longest.min(LONGEST_COUNTED_DEADLINE) + KILL_DELAY;
         let ShutdownSchedule {
             accept_all_until,
             accept_requests_until,
@@ -25,20 +25,20 @@
         let left = answer_by - accept_requests_until;
         assert!(
             left >= longest.min(Duration::from_millis(400)),
-            "{ms} ms: {left:?} for the last"
+            "{ms} ms: {left:?} for the last request"
         );
         assert!(
-            answer_by < read_until && killed - read_until >= Duration::from_millis(40),
-            "{ms} ms: read until {read_until:?} of {killed:?}"
+            answer_by < read_until && kill_at - read_until >= Duration::from_millis(40),
+            "{ms} ms: read until {read_until:?} of {kill_at:?}"
         );
-        let may_stall = Duration::from_millis(150);
+        let longest_pause = Duration::from_millis(150);
         assert!(
-            ms < 500 || killed - read_until > may_stall,
+            ms < 500 || kill_at - read_until > longest_pause,
             "{ms} ms: {read_until:?}"
         );
         assert!(
-            killed - answer_by >= Duration::from_millis(60),
-            "{ms} ms: {answer_by:?} of {killed:?}"
+            kill_at - answer_by >= Duration::from_millis(60),
+            "{ms} ms: {answer_by:?} of {kill_at:?}"
         );
     }
 }
