--- a/src/net/config/missing_key.rs
+++ b/src/net/config/missing_key.rs
@@ -1,6 +1,6 @@
 //! Compares the keys of two settings objects.
 
-use irisrouter::platform_settings::OPTIONAL;
+use irisrouter::platform_settings::OPTIONAL_KEYS;
 use serde_json::{Map, Value};
 
 /// Returns the first key, at any depth, that `old` has and `new` lacks. In a list of objects, each entry of the new
@@ -26,5 +26,5 @@
 }
 
 fn is_required(key: &str, old_value: &Value) -> bool {
-    !OPTIONAL.contains(&key) && !old_value.is_null()
+    !OPTIONAL_KEYS.contains(&key) && !old_value.is_null()
 }
--- a/src/platform_settings/mod.rs
+++ b/src/platform_settings/mod.rs
@@ -21,7 +21,7 @@
 use serde::Deserialize;
 
 /// Keys that may be absent. The platform documents all others as required.
-pub const OPTIONAL: [&str; 2] = ["AimStretch", "DrainBindsAlone"];
+pub const OPTIONAL_KEYS: [&str; 2] = ["AimStretch", "DrainBindsAlone"];
 /// Minimum number of gateways for which shared health checks are worth their datagrams. In a smaller fleet each gateway
 /// sees enough traffic of its own to judge the hosts.
 const MIN_GATEWAYS_TO_SHARE: u32 = 16;
