--- a/src/bin/irisrouter-sim-adapter.rs
+++ b/src/bin/irisrouter-sim-adapter.rs
@@ -36,7 +36,7 @@
         if input.read_line(&mut line).map_err(Failure::Read)? == 0 {
             return Ok(());
         }
-        let mut reply = adapter.line(line.trim_end())?;
+        let mut reply = adapter.answer_line(line.trim_end())?;
         reply.push('\n');
         output.write_all(reply.as_bytes()).map_err(Failure::Write)?;
         output.flush().map_err(Failure::Write)?;
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -32,7 +32,7 @@
     ///
     /// Returns an error if the line is malformed or refers to an unknown class, outcome, status or catalog, or if the
     /// settings of a new instance cannot be used.
-    pub fn line(&mut self, line: &str) -> Result<String, AdapterError> {
+    pub fn answer_line(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
         // The instances with events in this batch, in the order of their first event.
         let mut instances_to_run: Vec<i64> = Vec::new();
--- a/tests/simulator_adapter.rs
+++ b/tests/simulator_adapter.rs
@@ -35,14 +35,16 @@
         {"Catalog": {"SetId": 2, "NodesList": []}},
     ]});
     let reply: Value =
-        serde_json::from_str(&adapter.line(&line.to_string()).expect("reply")).expect("json");
+        serde_json::from_str(&adapter.answer_line(&line.to_string()).expect("reply"))
+            .expect("json");
     assert_eq!(reply["frame"], 1);
     adapter
 }
 
 fn send_events(adapter: &mut Adapter, now_ns: i64, happened: Value) -> Vec<Value> {
     let line = json!({"TNs": now_ns, "frame": 2, "happened": happened}).to_string();
-    let reply: Value = serde_json::from_str(&adapter.line(&line).expect("reply")).expect("json");
+    let reply: Value =
+        serde_json::from_str(&adapter.answer_line(&line).expect("reply")).expect("json");
     reply["output"].as_array().expect("output").clone()
 }
 
@@ -95,14 +97,17 @@
         "{\"TNs\":1}",
         "{\"TNs\":1,\"frame\":1,\"happened\":[{\"Nonsense\":{}}]}",
     ] {
-        let error = Adapter::new().line(line).expect_err("an error").to_string();
+        let error = Adapter::new()
+            .answer_line(line)
+            .expect_err("an error")
+            .to_string();
         assert!(error.starts_with("malformed batch"), "{error}");
     }
     let mut adapter = start_adapter();
     let line =
         json!({"TNs": 9001000000i64, "frame": 2, "happened": [request("r/3", "unheard-of")]});
     assert!(adapter
-        .line(&line.to_string())
+        .answer_line(&line.to_string())
         .expect_err("an error")
         .to_string()
         .contains("unknown class"));
