--- a/src/net/upstream/registry.rs
+++ b/src/net/upstream/registry.rs
@@ -211,6 +211,6 @@
     }
 
     fn zone_id(&mut self, name: &str) -> ZoneId {
-        ZoneId(self.zones.number(name) as u32)
+        ZoneId(self.zones.find_or_insert(name) as u32)
     }
 }
--- a/src/platform_settings/mod.rs
+++ b/src/platform_settings/mod.rs
@@ -143,7 +143,7 @@
     Ok(Settings {
         seed,
         gateway_count: info.balancers,
-        zone: ZoneId(zones.number(&info.my_zone) as u32),
+        zone: ZoneId(zones.find_or_insert(&info.my_zone) as u32),
         tick: info.round_ns.clamp(MIN_TICK, MAX_TIME),
         classes,
         tenants: info.tenants.iter().map(|t| tenant(t.quota_per_s)).collect(),
--- a/src/platform_settings/name_table.rs
+++ b/src/platform_settings/name_table.rs
@@ -16,7 +16,7 @@
     }
 
     /// Returns the number of a name. A name that the table does not have is added with the next number.
-    pub fn number(&mut self, name: &str) -> usize {
+    pub fn find_or_insert(&mut self, name: &str) -> usize {
         self.find(name).unwrap_or_else(|| {
             self.0.push(name.to_string());
             self.0.len() - 1
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -289,7 +289,7 @@
         Ok(Endpoint {
             member: self.member(&entry.member),
             group: GroupId(entry.db),
-            zone: ZoneId(self.zones.number(&entry.area) as u32),
+            zone: ZoneId(self.zones.find_or_insert(&entry.area) as u32),
             state,
             primary: entry.primary.unwrap_or(0.0) > 0.5,
             size: entry.nominal.unwrap_or(1.0),
