--- a/src/net/lifecycle/cluster_startup.rs
+++ b/src/net/lifecycle/cluster_startup.rs
@@ -1,5 +1,5 @@
-//! Builds the services by which gateways cooperate, as far as the operators and the platform allow them. A service that
-//! is off costs nothing.
+//! Builds the services through which gateways cooperate: those that the operators have enabled and that the platform
+//! allows. A service that is off is not built, so it sends no datagrams and takes no time.
 
 use crate::net::cluster::drains::DrainService;
 use crate::net::cluster::endpoint_watch::EndpointWatchService;
@@ -18,17 +18,17 @@
 use irisrouter_site_failover::SiteIndex;
 use std::rc::Rc;
 
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 const NS_PER_S: i64 = 1_000_000_000;
-/// An odd constant with well mixed bits (2^64 divided by the golden ratio): gateways with neighbouring numbers that
-/// start in the same second get different random seeds.
+/// 2^64 divided by the golden ratio, made odd. Multiplying a gateway's number by it spreads neighbouring numbers over
+/// all bits, so that gateways that start in the same second get different random seeds.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Builds all services that are on.
+/// Builds all services that are enabled and allowed.
 ///
 /// # Errors
 ///
-/// Site failover is on and cannot be started.
+/// Returns an error if site failover is enabled and cannot be started.
 pub fn build_cluster_services(
     config: &Config,
     parts: &SharedParts,
@@ -49,17 +49,17 @@
     })
 }
 
-/// Membership, where the operators turned it on and the platform lets gateways send datagrams.
+/// Builds membership if the operators enabled it and the platform lets gateways exchange datagrams.
 fn membership(config: &Config, parts: &SharedParts) -> Option<Rc<MembershipService>> {
-    let wanted = &config.operators.membership;
-    let allowed = wanted.enabled && config.platform.peers_allowed;
+    let operator_settings = &config.operators.membership;
+    let allowed = operator_settings.enabled && config.platform.peers_allowed;
     let peers = config.peers.as_ref().filter(|_| allowed)?;
     let fleet_size = peers.gateway_addresses.len() as u32;
     let unix_s = u64::try_from(parts.clock.now().as_nanos() / NS_PER_S).unwrap_or(0);
     let seed = u64::from(peers.local_gateway.0).wrapping_mul(SEED_MULTIPLIER) ^ unix_s;
     MembershipService::new(
         peers,
-        wanted.for_fleet(fleet_size),
+        operator_settings.for_fleet(fleet_size),
         unix_s,
         seed,
         Rc::clone(&parts.metrics),
@@ -69,20 +69,20 @@
     .map(Rc::new)
 }
 
-/// Leases, where the operators turned them on, membership is on and the platform allows health checks.
+/// Builds leases if the operators enabled them, membership is on and the platform allows health checks.
 fn leases(
     config: &Config,
     parts: &SharedParts,
     membership: Option<&Rc<MembershipService>>,
 ) -> Option<Rc<LeaseService>> {
-    let wanted = &config.operators.leases;
-    let allowed = wanted.enabled && config.platform.health_checks_allowed;
+    let operator_settings = &config.operators.leases;
+    let allowed = operator_settings.enabled && config.platform.health_checks_allowed;
     let peers = config.peers.as_ref().filter(|_| allowed)?;
     LeaseService::new(
         Rc::clone(membership?),
         peers.gateway_addresses.clone(),
-        wanted.lease_ms,
-        wanted.fence_health_checks,
+        operator_settings.lease_ms,
+        operator_settings.fence_health_checks,
         Rc::clone(&parts.metrics),
     )
     .map_err(|error| log!("takeover is off: {error}"))
@@ -90,14 +90,14 @@
     .map(Rc::new)
 }
 
-/// Write intents, where the operators turned them on and membership is on.
+/// Builds write intents if the operators enabled leases and write intents and membership is on.
 fn write_intents(
     config: &Config,
     parts: &SharedParts,
     membership: Option<&Rc<MembershipService>>,
 ) -> Option<Rc<WriteIntentService>> {
-    let wanted = &config.operators.leases;
-    let enabled = wanted.enabled && wanted.write_intents;
+    let operator_settings = &config.operators.leases;
+    let enabled = operator_settings.enabled && operator_settings.write_intents;
     let peers = config.peers.as_ref().filter(|_| enabled)?;
     Some(Rc::new(WriteIntentService::new(
         Rc::clone(membership?),
@@ -107,7 +107,7 @@
     )))
 }
 
-/// Drains of database hosts by the console, where leases are on.
+/// Builds the service that drains database hosts on request of the console, if leases are on.
 fn drains(
     config: &Config,
     parts: &SharedParts,
@@ -125,17 +125,19 @@
     )))
 }
 
-/// One watcher of the endpoint list for the fleet, where the operators turned it on, leases are on, and one discovery
-/// service answers all gateways. An agent on each machine is watched by each gateway: a change that the agent has
-/// counts as known to its gateway, whoever else watches.
+/// Builds the service that lets one gateway watch the endpoint list for the fleet, if the operators enabled it, leases
+/// are on, and one discovery service answers all gateways.
+///
+/// Where an agent on each machine pushes the list, each gateway watches its own agent instead: a change counts as known
+/// to a gateway as soon as its agent has it, whichever other gateway watches.
 fn endpoint_watch(
     config: &Config,
     parts: &SharedParts,
     membership: Option<&Rc<MembershipService>>,
     leases: Option<&Rc<LeaseService>>,
 ) -> Option<Rc<EndpointWatchService>> {
-    let wanted = &config.operators.leases;
-    if !wanted.shared_endpoint_watch {
+    let operator_settings = &config.operators.leases;
+    if !operator_settings.shared_endpoint_watch {
         return None;
     }
     if !config.platform.settings.endpoint_list_on_request {
@@ -146,28 +148,28 @@
         Rc::clone(membership?),
         Rc::clone(leases?),
         Rc::clone(&parts.upstream),
-        wanted.lease_ms,
+        operator_settings.lease_ms,
         Rc::clone(&parts.metrics),
     )))
 }
 
-/// Failover of whole sites, where the operators turned it on and leases are on.
+/// Builds the failover of whole sites if the operators enabled it and leases are on.
 fn site_failover(
     config: &Config,
     parts: &SharedParts,
     membership: Option<&Rc<MembershipService>>,
     leases: Option<&Rc<LeaseService>>,
 ) -> Result<Option<Rc<SiteFailoverService>>, StartupError> {
-    let wanted = &config.operators.site_failover;
+    let operator_settings = &config.operators.site_failover;
     let (Some(membership), Some(leases)) = (membership, leases) else {
         return Ok(None);
     };
-    let Some(peers) = config.peers.as_ref().filter(|_| wanted.enabled) else {
+    let Some(peers) = config.peers.as_ref().filter(|_| operator_settings.enabled) else {
         return Ok(None);
     };
     let zones = names(&config.platform.zones);
     let classes = names(&config.platform.classes);
-    let settings = wanted.for_zones(&zones, &classes)?;
+    let settings = operator_settings.for_zones(&zones, &classes)?;
     let dependencies = site_failover::Dependencies {
         membership: Rc::clone(membership),
         leases: Rc::clone(leases),
@@ -183,7 +185,7 @@
     };
     let site_failover_config = site_failover::SiteFailoverConfig {
         settings,
-        capacity_per_s: wanted.capacity_per_s,
+        capacity_per_s: operator_settings.capacity_per_s,
     };
     let service = SiteFailoverService::new(dependencies, names, site_failover_config, peers)
         .map_err(|error| StartupError::SiteFailover(error.into()))?;
--- a/src/simulator/instance.rs
+++ b/src/simulator/instance.rs
@@ -1,4 +1,4 @@
-//! One simulated gateway: its router, and the names behind the numbers that the router knows.
+//! One simulated gateway: its router, and the mapping between the simulator's names and the router's numbers.
 
 use super::error::AdapterError;
 use super::wire::{Metrics, WireAction, WireEntry};
@@ -10,23 +10,23 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// Nanoseconds in a millisecond.
+/// Nanoseconds per millisecond.
 const NS_PER_MS: f64 = 1e6;
-/// Nanoseconds in a second.
+/// Nanoseconds per second.
 const NS_PER_S: f64 = 1e9;
-/// The bits of a replication status that hold the role; the others hold the position in milliseconds.
+/// Mask of the bits of a replication status that contain the role. The other bits contain the position in milliseconds.
 const ROLE_BITS: i64 = 0b11;
-/// How many bits that are.
+/// Number of bits in [`ROLE_BITS`].
 const ROLE_BIT_COUNT: u32 = 2;
 
-/// A request's name on the wire, kept until the request has ended and no attempt of it is in flight.
+/// A request that is kept until it has ended and none of its attempts is in flight.
 struct OpenRequest {
     name: String,
     attempts_in_flight: u32,
     ended: bool,
 }
 
-/// A request as the simulator announces it.
+/// A new request as the simulator sends it.
 pub(super) struct NewRequest<'a> {
     pub(super) name: Cow<'a, str>,
     pub(super) class: Cow<'a, str>,
@@ -39,7 +39,7 @@
     pub(super) retry: bool,
 }
 
-/// The end of an attempt as the simulator announces it.
+/// The end of an attempt as the simulator reports it.
 pub(super) struct EndedAttempt<'a> {
     pub(super) request: Cow<'a, str>,
     pub(super) attempt: u32,
@@ -51,7 +51,7 @@
     pub(super) metrics: Option<Metrics<'a>>,
 }
 
-/// The end of a health check as the simulator announces it.
+/// The end of a health check as the simulator reports it.
 pub(super) struct EndedHealthCheck<'a> {
     pub(super) member: Cow<'a, str>,
     pub(super) outcome: i64,
@@ -62,28 +62,28 @@
 /// One simulated gateway.
 pub(super) struct Instance {
     router: Router,
-    /// Clock time from which positions are counted.
+    /// Clock time of position 0.
     position_zero: Timestamp,
     classes: NameTable,
     tenants: NameTable,
     zones: NameTable,
     members: HashMap<String, MemberId>,
     member_names: Vec<String>,
-    requests: HashMap<String, RequestId>,
-    open: HashMap<RequestId, OpenRequest>,
+    request_ids: HashMap<String, RequestId>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     next_request: u64,
-    /// Events of the batch that is being read.
+    /// Events of the current batch.
     events: Vec<Event>,
-    /// Requests that may be over once the batch has run.
-    closing: Vec<RequestId>,
+    /// Requests that are removed after the batch has run if they have ended and none of their attempts is in flight.
+    removal_candidates: Vec<RequestId>,
 }
 
 impl Instance {
-    /// An instance that knows its settings and nothing else.
+    /// Creates an instance with these settings, without members or requests.
     ///
     /// # Errors
     ///
-    /// The settings cannot be used.
+    /// Returns an error if the settings cannot be used.
     pub(super) fn new(seed: u64, info: &BootInfo) -> Result<Self, AdapterError> {
         let platform = PlatformSettings::new(seed, info)?;
         Ok(Instance {
@@ -94,11 +94,11 @@
             zones: platform.zones,
             members: HashMap::new(),
             member_names: Vec::new(),
-            requests: HashMap::new(),
-            open: HashMap::new(),
+            request_ids: HashMap::new(),
+            open_requests: HashMap::new(),
             next_request: 0,
             events: Vec::new(),
-            closing: Vec::new(),
+            removal_candidates: Vec::new(),
         })
     }
 
@@ -111,7 +111,7 @@
     ///
     /// # Errors
     ///
-    /// A member has a status that is not known.
+    /// Returns an error if the status of a member is unknown.
     pub(super) fn post_endpoints(
         &mut self,
         complete: bool,
@@ -131,19 +131,19 @@
     ///
     /// # Errors
     ///
-    /// Its class is not known.
+    /// Returns an error if the class of the request is unknown.
     pub(super) fn post_request(&mut self, request: NewRequest) -> Result<(), AdapterError> {
         let class = self.classes.find(&request.class);
         let class = class.ok_or_else(|| AdapterError::UnknownClass(request.class.to_string()))?;
         let id = RequestId(self.next_request);
         self.next_request += 1;
-        self.requests.insert(request.name.to_string(), id);
+        self.request_ids.insert(request.name.to_string(), id);
         let open = OpenRequest {
             name: request.name.into_owned(),
             attempts_in_flight: 0,
             ended: false,
         };
-        self.open.insert(id, open);
+        self.open_requests.insert(id, open);
         let tenant = request.tenant.as_ref().and_then(|tenant| tenant.as_str());
         let last_write_age_ms = request.last_write_age_ms.filter(|&age| age > 0.0);
         let last_write_age =
@@ -164,26 +164,26 @@
 
     /// Adds the start of a streamed answer to the batch.
     pub(super) fn post_streaming(&mut self, request: &str) {
-        if let Some(&id) = self.requests.get(request) {
+        if let Some(&id) = self.request_ids.get(request) {
             self.post(Event::Streaming { id });
         }
     }
 
-    /// Adds the end of an attempt to the batch; ignores that of a request or member that is not known.
+    /// Adds the end of an attempt to the batch. Ignores it if the request or the member is unknown.
     ///
     /// # Errors
     ///
-    /// The outcome is not known.
+    /// Returns an error if the outcome is unknown.
     pub(super) fn post_attempt_ended(&mut self, ended: EndedAttempt) -> Result<(), AdapterError> {
-        let id = self.requests.get(ended.request.as_ref()).copied();
+        let id = self.request_ids.get(ended.request.as_ref()).copied();
         let member = self.members.get(ended.member.as_ref()).copied();
         let Some((id, member)) = id.zip(member) else {
             return Ok(());
         };
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
             open.attempts_in_flight = open.attempts_in_flight.saturating_sub(1);
             open.ended |= ended.finished;
-            self.closing.push(id);
+            self.removal_candidates.push(id);
         }
         let outcome = outcome(ended.outcome)?;
         let status = ended.status.and_then(|bits| self.status(bits));
@@ -201,19 +201,19 @@
         Ok(())
     }
 
-    /// Adds the leave of a client to the batch.
+    /// Adds the disconnection of a request's client to the batch.
     pub(super) fn post_client_gone(&mut self, request: &str) {
-        if let Some(id) = self.requests.get(request).copied() {
+        if let Some(id) = self.request_ids.get(request).copied() {
             self.request_ended(id);
             self.post(Event::ClientGone { id });
         }
     }
 
-    /// Adds the end of a health check to the batch; ignores that of a member that is not known.
+    /// Adds the end of a health check to the batch. Ignores it if the member is unknown.
     ///
     /// # Errors
     ///
-    /// The outcome is not known.
+    /// Returns an error if the outcome is unknown.
     pub(super) fn post_health_checked(
         &mut self,
         ended: EndedHealthCheck,
@@ -232,7 +232,7 @@
         Ok(())
     }
 
-    /// Runs the batch, and appends what the router wants done.
+    /// Runs the batch, and appends the router's actions to `output`.
     pub(super) fn run_batch(
         &mut self,
         instance: i64,
@@ -243,28 +243,28 @@
         for action in self.router.batch(now, &events) {
             output.extend(self.wire_action(instance, action));
         }
-        for id in std::mem::take(&mut self.closing) {
-            self.forget_if_over(id);
+        for id in std::mem::take(&mut self.removal_candidates) {
+            self.remove_if_complete(id);
         }
     }
 
-    fn forget_if_over(&mut self, id: RequestId) {
-        let is_over = |open: &OpenRequest| open.ended && open.attempts_in_flight == 0;
-        if self.open.get(&id).is_some_and(is_over) {
-            if let Some(open) = self.open.remove(&id) {
-                self.requests.remove(&open.name);
+    fn remove_if_complete(&mut self, id: RequestId) {
+        let is_complete = |open: &OpenRequest| open.ended && open.attempts_in_flight == 0;
+        if self.open_requests.get(&id).is_some_and(is_complete) {
+            if let Some(open) = self.open_requests.remove(&id) {
+                self.request_ids.remove(&open.name);
             }
         }
     }
 
     fn request_ended(&mut self, id: RequestId) {
-        if let Some(open) = self.open.get_mut(&id) {
+        if let Some(open) = self.open_requests.get_mut(&id) {
             open.ended = true;
-            self.closing.push(id);
+            self.removal_candidates.push(id);
         }
     }
 
-    /// The number of a member, a new one at its first mention.
+    /// Returns the id of a member. A new member gets the next id.
     fn member(&mut self, name: &str) -> MemberId {
         if let Some(&member) = self.members.get(name) {
             return member;
@@ -289,7 +289,7 @@
         Ok(Endpoint {
             member: self.member(&entry.member),
             group: GroupId(entry.db),
-            zone: ZoneId(self.zones.number(&entry.area) as u32),
+            zone: ZoneId(self.zones.find_or_insert(&entry.area) as u32),
             state,
             primary: entry.primary.unwrap_or(0.0) > 0.5,
             size: entry.nominal.unwrap_or(1.0),
@@ -299,18 +299,19 @@
 
     fn load_report(&self, metrics: Option<Metrics>) -> Option<LoadReport> {
         let metrics = metrics?;
-        let figure = |name: &str| metrics.get(name).copied().flatten();
+        let value = |name: &str| metrics.get(name).copied().flatten();
         let seconds_to_position =
             |seconds: f64| self.position_zero + TimeDelta::from_nanos_f64(seconds * NS_PER_S);
         Some(LoadReport {
-            position: figure("x0").map(seconds_to_position),
-            primary: figure("x1").map(|flag| flag > 0.5),
-            in_flight: figure("concurrent").or(figure("depth")),
-            cores_in_use: figure("load_share").filter(|share| share.is_finite()),
+            position: value("x0").map(seconds_to_position),
+            primary: value("x1").map(|flag| flag > 0.5),
+            in_flight: value("concurrent").or(value("depth")),
+            cores_in_use: value("load_share").filter(|share| share.is_finite()),
         })
     }
 
-    /// What the number that comes with an answer says of its member; nothing, if it has no role.
+    /// Decodes the replication status of a member, which an answer carries as a number. Returns `None` if the number
+    /// contains no role.
     fn status(&self, bits: i64) -> Option<ReplicationStatus> {
         let role = match bits & ROLE_BITS {
             1 => Role::Primary,
@@ -326,10 +327,10 @@
     }
 
     fn request_name(&self, id: RequestId) -> Option<String> {
-        self.open.get(&id).map(|open| open.name.clone())
+        self.open_requests.get(&id).map(|open| open.name.clone())
     }
 
-    /// An action in the simulator's words; nothing for a request that is over.
+    /// Converts an action to the simulator's form. Returns `None` if its request is no longer open.
     fn wire_action(&mut self, instance: i64, action: Action) -> Option<WireAction> {
         let i = instance;
         Some(match action {
@@ -338,7 +339,7 @@
                 member,
                 timeout,
             } => {
-                let open = self.open.get_mut(&id)?;
+                let open = self.open_requests.get_mut(&id)?;
                 open.attempts_in_flight += 1;
                 WireAction::CallOut {
                     i,
--- a/src/simulator/mod.rs
+++ b/src/simulator/mod.rs
@@ -1,4 +1,4 @@
-//! The adapter between the simulator's JSON lines and the router. It decides nothing.
+//! The adapter between the simulator's JSON lines and the router. It only converts; the router makes all decisions.
 
 mod error;
 mod instance;
@@ -13,7 +13,7 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use wire::{Batch, Reply, WireAction, WireEntry, WireEvent};
 
-/// All instances of this process, and the catalogs that they share as messages.
+/// The simulated gateways of this process, and the endpoint catalogs that they share.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<i64, Instance>,
@@ -21,7 +21,7 @@
 }
 
 impl Adapter {
-    /// An adapter without instances.
+    /// Creates an adapter without instances.
     pub fn new() -> Self {
         Self::default()
     }
@@ -30,20 +30,21 @@
     ///
     /// # Errors
     ///
-    /// The line is malformed, or refers to something that is not known.
-    pub fn line(&mut self, line: &str) -> Result<String, AdapterError> {
+    /// Returns an error if the line is malformed or refers to an unknown class, outcome, status or catalog, or if the
+    /// settings of a new instance cannot be used.
+    pub fn answer_line(&mut self, line: &str) -> Result<String, AdapterError> {
         let batch: Batch = serde_json::from_str(line).map_err(AdapterError::MalformedBatch)?;
-        // Instances with events, in the order in which they were first named.
-        let mut touched: Vec<i64> = Vec::new();
+        // The instances with events in this batch, in the order of their first event.
+        let mut instances_to_run: Vec<i64> = Vec::new();
         for event in batch.happened {
-            if let Some(instance) = self.take_event(event, &mut touched)? {
-                if !touched.contains(&instance) {
-                    touched.push(instance);
+            if let Some(instance) = self.handle_event(event, &mut instances_to_run)? {
+                if !instances_to_run.contains(&instance) {
+                    instances_to_run.push(instance);
                 }
             }
         }
         let mut output = Vec::new();
-        for id in touched {
+        for id in instances_to_run {
             let Some(instance) = self.instances.get_mut(&id) else {
                 continue;
             };
@@ -60,11 +61,12 @@
         serde_json::to_string(&reply).map_err(AdapterError::Reply)
     }
 
-    /// Takes an event; returns the instance that has to run for it, if any. A killed instance leaves `touched`.
-    fn take_event(
+    /// Handles an event. Returns the instance that has to run because of it, if any. Removes a killed instance from
+    /// `instances_to_run`.
+    fn handle_event(
         &mut self,
         event: WireEvent,
-        touched: &mut Vec<i64>,
+        instances_to_run: &mut Vec<i64>,
     ) -> Result<Option<i64>, AdapterError> {
         match event {
             WireEvent::Catalog { set, entries } => {
@@ -79,7 +81,7 @@
             }
             WireEvent::Kill { inst } => {
                 self.instances.remove(&inst);
-                touched.retain(|&id| id != inst);
+                instances_to_run.retain(|&id| id != inst);
                 Ok(None)
             }
             WireEvent::Datagram {} => Ok(None),
@@ -96,12 +98,12 @@
                 }
                 Ok(Some(inst))
             }
-            event => self.take_instance_event(event),
+            event => self.handle_instance_event(event),
         }
     }
 
-    /// Takes an event that needs nothing but its instance.
-    fn take_instance_event(&mut self, event: WireEvent) -> Result<Option<i64>, AdapterError> {
+    /// Handles an event that concerns only its instance. Ignores it if the instance does not exist.
+    fn handle_instance_event(&mut self, event: WireEvent) -> Result<Option<i64>, AdapterError> {
         let Some(id) = event.instance() else {
             return Ok(None);
         };
@@ -112,23 +114,23 @@
             WireEvent::Req {
                 call,
                 class,
-                team,
+                tenant,
                 session,
                 deadline,
                 work,
                 group,
-                mark_age_ms,
+                last_write_age_ms,
                 retry,
                 ..
             } => instance.post_request(NewRequest {
                 name: call,
                 class,
-                tenant: team,
+                tenant,
                 session,
                 deadline,
                 work,
                 group,
-                last_write_age_ms: mark_age_ms,
+                last_write_age_ms,
                 retry: retry.unwrap_or(false),
             })?,
             WireEvent::ReportBack {
@@ -138,7 +140,7 @@
                 outcome,
                 elapsed,
                 finished,
-                stand,
+                status,
                 metrics,
                 ..
             } => instance.post_attempt_ended(EndedAttempt {
@@ -148,7 +150,7 @@
                 outcome,
                 elapsed,
                 finished: finished.unwrap_or(false),
-                status: stand,
+                status,
                 metrics,
             })?,
             WireEvent::Probed {
@@ -176,7 +178,7 @@
     }
 }
 
-/// The text of a panic, for the simulator's report.
+/// Returns the text of a panic, for the reply to the simulator.
 fn panic_message(panic: &(dyn Any + Send)) -> String {
     let text = panic.downcast_ref::<String>().cloned();
     let text = text.or_else(|| panic.downcast_ref::<&str>().map(ToString::to_string));
