--- a/src/net/cluster/drains.rs
+++ b/src/net/cluster/drains.rs
@@ -1,7 +1,8 @@
-//! The drains of database hosts: `irisrouter_drain_coordination` connected to this gateway.
+//! The drain service, which runs the drain coordinator of `irisrouter_drain_coordination` on this gateway.
 //!
-//! The coordinator gets the datagrams, the time, the view of membership, this gateway's leases and its requests in flight.
-//! Its actions are carried out here: datagrams for the peer socket, log lines, and the hosts taken out of service.
+//! The service passes datagrams, the current time, the membership view, this gateway's leases and its requests in
+//! flight to the coordinator. It carries out the coordinator's actions: it queues datagrams for the peer socket, writes
+//! log lines, and takes hosts out of service.
 
 use crate::net::cluster::leases::{LeaseService, LeasedTask};
 use crate::net::cluster::membership::MembershipService;
@@ -25,7 +26,7 @@
 use thiserror::Error;
 use tokio::sync::{oneshot, Notify};
 
-/// What became of an operator's command; its text is the console's answer.
+/// How far an operator's command was replicated. The console answers with its `Display` text.
 #[derive(Debug)]
 pub struct CommandReplication {
     host_name: String,
@@ -48,33 +49,35 @@
     }
 }
 
-/// Why an operator's command does not hold, or not at a majority of the gateways; its text is the console's answer.
+/// Error returned if an operator's command was rejected, or was not replicated to a majority of the gateways. The
+/// console answers with its `Display` text.
 #[derive(Debug, Error)]
 pub enum DrainCommandError {
     /// The endpoint list has no host of this name.
     #[error("the list names no host {host_name}")]
     UnknownHost {
-        /// The name that the operator gave.
+        /// Name of the host as the operator gave it.
         host_name: String,
     },
-    /// Its set would have no host in service.
+    /// Without this host its group would have no host in service.
     #[error("{host_name} is the last host of its set in service")]
     LastHostOfSet {
-        /// The name that the operator gave.
+        /// Name of the host as the operator gave it.
         host_name: String,
     },
-    /// Commands for too many other hosts are not complete yet.
+    /// Too many commands for other hosts are not complete yet.
     #[error(transparent)]
     CommandLog(#[from] CommandLogError),
-    /// Another operator issued a command for the host before a quorum followed this one.
+    /// Another operator at this gateway issued a command for the host before a majority followed this one.
     #[error("another word on that host came in between")]
     Superseded,
-    /// In time no majority of the gateways followed; it holds at those that do, and goes on being announced.
+    /// No majority of the gateways followed the command before the replication timeout. The command stays in force at
+    /// the gateways that follow it, and continues to be announced.
     #[error("{0}, which is no majority: it holds there, and goes on being told")]
     NoMajority(CommandReplication),
 }
 
-/// What the coordinator asks about this gateway.
+/// Answers the coordinator's queries about the state of this gateway.
 struct LocalGateway {
     leases: Rc<LeaseService>,
     upstream: Rc<Upstream>,
@@ -90,7 +93,7 @@
     }
 }
 
-/// The drains of database hosts, as one gateway knows them.
+/// The drain service of one gateway.
 pub struct DrainService {
     coordinator: RefCell<DrainCoordinator>,
     membership: Rc<MembershipService>,
@@ -98,14 +101,14 @@
     clock: ServiceClock,
     outbox: Outbox,
     metrics: Rc<Metrics>,
-    /// Operators who wait until a quorum follows their commands, by host.
+    /// For each host, the sender to the operator who waits until a majority follows the command.
     waiting_operators: RefCell<HashMap<HostId, oneshot::Sender<ReplicationProgress>>>,
-    /// Wakes the peer socket once an operator has issued a command.
+    /// Notified when an operator has issued a command, so that the peer socket sends it.
     command_issued: Notify,
 }
 
 impl DrainService {
-    /// A gateway that knows of no drain yet; `gateways` are the addresses of the fleet's list.
+    /// Starts the service without any drains. `gateways` has the address of each gateway, indexed by gateway id.
     pub fn new(
         membership: Rc<MembershipService>,
         leases: Rc<LeaseService>,
@@ -128,12 +131,12 @@
         }
     }
 
-    /// The hosts whose drains need a coordinator.
+    /// Returns the hosts whose drains need a coordinator.
     pub fn drains_to_coordinate(&self) -> Vec<HostId> {
         self.coordinator.borrow().drains_to_coordinate()
     }
 
-    /// Takes a datagram from gateway `from`; returns what is to be sent.
+    /// Processes a datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
         let mut coordinator = self.coordinator.borrow_mut();
         coordinator.update_fleet(self.membership.not_down_processes());
@@ -144,7 +147,7 @@
         self.carry_out(&mut coordinator)
     }
 
-    /// Does what is due; returns what is to be sent.
+    /// Does the work that is due. Returns the datagrams to send.
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
         let mut coordinator = self.coordinator.borrow_mut();
         coordinator.update_fleet(self.membership.not_down_processes());
@@ -152,7 +155,7 @@
         self.carry_out(&mut coordinator)
     }
 
-    /// The time until [`DrainService::advance`] has work.
+    /// Returns the time until [`DrainService::advance`] has work due.
     pub fn due(&self) -> Duration {
         let now = self.clock.now();
         let next_due = self.coordinator.borrow().next_due(now);
@@ -164,11 +167,12 @@
         self.command_issued.notified().await;
     }
 
-    /// Carries out an operator's command, and waits until a majority of the gateways follows it.
+    /// Issues an operator's command, and waits until a majority of the gateways follows it or the replication times
+    /// out.
     ///
     /// # Errors
     ///
-    /// The command does not hold, or too few gateways follow it so far.
+    /// Returns an error if the command is rejected or superseded, or if no majority of the gateways follows it in time.
     pub async fn command(
         &self,
         host_name: &str,
@@ -192,7 +196,7 @@
         }
     }
 
-    /// Issues a command at this gateway; returns the receiver of the answer to its operator.
+    /// Issues a command at this gateway. Returns the receiver of its replication progress, on which the operator waits.
     fn issue(
         &self,
         host: HostId,
@@ -203,13 +207,14 @@
             .borrow_mut()
             .issue(self.clock.now(), wall_clock, host, desired_state)?;
         let (sender, receiver) = oneshot::channel();
-        // A second operator with a command for the same host takes the first one's place, whose receiver then fails.
+        // A second command for the same host replaces the sender of the first, so that the first operator's receiver
+        // returns an error.
         self.waiting_operators.borrow_mut().insert(host, sender);
         self.command_issued.notify_one();
         Ok(receiver)
     }
 
-    /// The host that an operator named, where the command may hold there.
+    /// Returns the host that an operator named, if the command is allowed for it.
     fn host_to_command(
         &self,
         host_name: &str,
@@ -230,8 +235,9 @@
         Ok(host)
     }
 
-    /// All drains as one line: `host:back`, `host:done` with the gateways that did not report, `host:draining` with the
-    /// requests in flight and the gateways that have yet to report, or `host:elsewhere` where another gateway coordinates.
+    /// Returns all drains as one line for the console, with one entry for each: `host:back`; `host:done` with the
+    /// number of gateways that did not report; `host:draining` with the number of requests in flight and of gateways
+    /// that have yet to report; or `host:elsewhere` if another gateway coordinates the drain.
     pub fn status_line(&self) -> String {
         let coordinator = self.coordinator.borrow();
         let drains: Vec<String> = coordinator
@@ -288,7 +294,7 @@
 
     fn answer_operator(&self, host: HostId, progress: ReplicationProgress) {
         if let Some(operator) = self.waiting_operators.borrow_mut().remove(&host) {
-            // An operator who has closed the connection needs no answer.
+            // The send fails if the operator has closed the connection, which needs no handling.
             let _ = operator.send(progress);
         }
     }
--- a/src/net/cluster/endpoint_watch.rs
+++ b/src/net/cluster/endpoint_watch.rs
@@ -1,7 +1,8 @@
-//! The fleet's watch of the endpoint list: `irisrouter_endpoint_watch` connected to this gateway.
+//! The endpoint-watch service, which runs the watcher of `irisrouter_endpoint_watch` on this gateway: one gateway
+//! watches the endpoint list for the whole fleet.
 //!
-//! The watcher gets heartbeats, the time, this gateway's lease and the position of its list; discovery asks here what to
-//! do next, and the peer socket asks for the heartbeat to send.
+//! The service passes heartbeats, the current time, this gateway's lease and the revision of its list to the watcher.
+//! Discovery asks the service how to poll the endpoint list next, and the peer socket asks it for heartbeats to send.
 
 use crate::net::cluster::leases::{LeaseService, LeasedTask};
 use crate::net::cluster::membership::MembershipService;
@@ -20,27 +21,28 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// A gateway that waits decides anew after this time at most: it may have got the lease of the watch meanwhile.
+/// Maximum time until a waiting gateway decides again how to poll, because it may have acquired the lease of the watch
+/// meanwhile.
 const DECISION_INTERVAL: Duration = Duration::from_millis(200);
-/// How discovery is to call for the endpoint list.
+/// How discovery requests the endpoint list from the discovery service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollKind {
-    /// The service holds the call until there is a change.
+    /// A long poll: the discovery service answers when the list changes.
     Watch,
-    /// The service answers at once.
+    /// The discovery service answers immediately.
     Fetch,
 }
 
-/// Who watches for this gateway: for the log.
+/// Which gateway watches the list for this one, as logged.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Role {
-    /// This gateway, for all or for itself.
+    /// This gateway watches the list, for the fleet or only for itself.
     Watching,
-    /// Another gateway.
+    /// Another gateway watches the list.
     Waiting,
 }
 
-/// The fleet's watch of the endpoint list, as one gateway takes part in it.
+/// The endpoint-watch service of one gateway.
 pub struct EndpointWatchService {
     watcher: RefCell<EndpointWatcher>,
     membership: Rc<MembershipService>,
@@ -48,16 +50,16 @@
     upstream: Rc<Upstream>,
     metrics: Rc<Metrics>,
     clock: ServiceClock,
-    /// The role that was logged last.
+    /// The last logged role, so that only changes are logged.
     role: Cell<Option<Role>>,
-    /// A heartbeat that counts has arrived: discovery decides anew.
+    /// Notified when a heartbeat was accepted, so that discovery decides again how to poll.
     heartbeat_received: Notify,
-    /// This gateway's own call has ended: a heartbeat may be due.
+    /// Notified when this gateway's own poll has ended, because a heartbeat may be due then.
     call_ended: Notify,
 }
 
 impl EndpointWatchService {
-    /// A gateway that has received no heartbeat.
+    /// Starts the service without any received heartbeat.
     pub fn new(
         membership: Rc<MembershipService>,
         leases: Rc<LeaseService>,
@@ -80,12 +82,12 @@
         }
     }
 
-    /// The fencing token of the watch, where this gateway holds its lease.
+    /// Returns the fencing token of the watch, or `None` if this gateway does not hold its lease.
     fn fencing_token(&self) -> Option<Epoch> {
         self.leases.fencing_token(LeasedTask::EndpointWatch)
     }
 
-    /// What this gateway knows of itself, with a list of this revision.
+    /// Returns the state of this gateway that the watcher's decisions depend on.
     fn local_state(&self, revision: Option<Revision>, needs_full_list: bool) -> LocalState {
         let local_gateway = self.membership.local_gateway();
         let lower_numbers = self
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Takes a heartbeat of gateway `from`.
+    /// Processes a heartbeat datagram from gateway `from`.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) {
         let heartbeat = match codec::decode(datagram) {
             Ok(heartbeat) => heartbeat,
@@ -123,7 +125,7 @@
         }
     }
 
-    /// The heartbeat that all other gateways are to get now, where one is due.
+    /// Returns the encoded heartbeat to broadcast, or `None` if none is due.
     pub fn heartbeat(&self) -> Option<Vec<u8>> {
         let local = self.local_state(Some(self.upstream.revision()), false);
         let hosts_out_of_service = || self.upstream.out_of_service(MAX_HOSTS_OUT_OF_SERVICE);
@@ -135,7 +137,7 @@
         Some(codec::encode(&heartbeat))
     }
 
-    /// The time until [`EndpointWatchService::heartbeat`] may return one.
+    /// Returns the time until a heartbeat may be due.
     pub fn due(&self) -> Duration {
         let now = self.clock.now();
         let holds_lease = self.fencing_token().is_some();
@@ -143,18 +145,18 @@
         ServiceClock::time_until(now, next)
     }
 
-    /// Waits until a call for the list has ended, so that a heartbeat may be due.
+    /// Waits until a poll of the list has ended, because a heartbeat may be due then.
     pub async fn send_requested(&self) {
         self.call_ended.notified().await;
     }
 
-    /// This gateway's own call was answered, or failed.
+    /// Records that this gateway's own poll has ended, and whether it was answered.
     pub fn call_ended(&self, answered: bool) {
         self.watcher.borrow_mut().record_call(answered);
         self.call_ended.notify_one();
     }
 
-    /// Waits until this gateway is to call, and returns how.
+    /// Waits until this gateway is to poll the list, and returns how it polls.
     pub async fn wait_for_poll(&self, position: &ListPosition) -> PollKind {
         loop {
             let pause = match self.decide_poll(position) {
@@ -164,12 +166,12 @@
             };
             self.log_role(Role::Waiting);
             let pause = pause.min(DECISION_INTERVAL);
-            // A heartbeat and the end of the pause are alike: the gateway decides anew.
+            // Whether a heartbeat arrived or the timeout expired, the gateway decides again.
             let _ = timeout(pause, self.heartbeat_received.notified()).await;
         }
     }
 
-    /// Waits until another gateway watches for this one, so that a watch of its own is of no use.
+    /// Waits until another gateway watches a list that is at least as new, so that this gateway can stop its own watch.
     pub async fn superseded(&self, position: &ListPosition) {
         loop {
             self.heartbeat_received.notified().await;
@@ -180,7 +182,7 @@
         }
     }
 
-    /// How this gateway is to call now; none where it is to wait first.
+    /// Returns how this gateway is to poll the list now, or `None` if it is to wait.
     pub fn next_poll(&self, position: &ListPosition) -> Option<PollKind> {
         match self.decide_poll(position) {
             PollDecision::Watch => Some(self.start_watch()),
@@ -206,7 +208,7 @@
         PollKind::Fetch
     }
 
-    /// Logs one line where this gateway begins to wait, or to watch.
+    /// Logs the role of this gateway if it differs from the last logged one, or is the first.
     fn log_role(&self, role: Role) {
         if self.role.replace(Some(role)) == Some(role) {
             return;
--- a/src/net/cluster/leases.rs
+++ b/src/net/cluster/leases.rs
@@ -1,7 +1,7 @@
-//! The shell of leases: feeds the core of `irisrouter_leases` with datagrams, the time and the view of membership, and
-//! carries out its actions.
+//! The lease service: passes datagrams, the current time and the membership view to the lease manager of
+//! `irisrouter_leases`, and carries out the manager's actions.
 //!
-//! Each change of holder is one log line and one count.
+//! Each lease that this gateway acquires or loses writes one log line and increments a counter.
 
 use crate::net::cluster::membership::MembershipService;
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
@@ -23,24 +23,25 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest time between two calls of [`LeaseService::advance`].
+/// Maximum time between two calls of [`LeaseService::advance`].
 const MAX_ADVANCE_INTERVAL: Milliseconds = Milliseconds(60_000);
 
-/// A task that one gateway does for the fleet.
+/// A task that one gateway performs for the whole fleet, under a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeasedTask {
-    /// The health checks of the set with this number.
+    /// The health checks of the hosts of a group.
     HealthChecks(GroupId),
-    /// The drain of a host, by the number under which all gateways know it.
+    /// The drain of a host.
     HostDrain(HostId),
-    /// The watch of the list of database hosts.
+    /// The watch of the endpoint list.
     EndpointWatch,
-    /// The failover plans for lost sites.
+    /// The planning of site failover.
     SiteFailover,
 }
 
 impl LeasedTask {
-    /// The number of the task, the same at every gateway. That of a set's health checks is the set's number.
+    /// Returns the id of the task, which is the same at every gateway. The health checks of a group have the id of the
+    /// group.
     const fn id(self) -> TaskId {
         match self {
             Self::HealthChecks(GroupId(set)) => TaskId(set as u64),
@@ -50,7 +51,7 @@
         }
     }
 
-    /// The task with this number.
+    /// Returns the task with this id.
     fn from_id(id: TaskId) -> Self {
         if id == irisrouter_endpoint_watch::TASK_ID {
             return Self::EndpointWatch;
@@ -58,7 +59,7 @@
         if id == irisrouter_site_failover::TASK_ID {
             return Self::SiteFailover;
         }
-        // The number of a drain has the host's number in its low half.
+        // The lower 32 bits of the id of a drain are the id of the host.
         let host = HostId(id.0 as u32);
         if irisrouter_drain_coordination::task_id(host) == id {
             return Self::HostDrain(host);
@@ -78,24 +79,24 @@
     }
 }
 
-/// The leases of one gateway.
+/// The lease service of one gateway.
 pub struct LeaseService {
     manager: RefCell<LeaseManager>,
     membership: Rc<MembershipService>,
     start: Instant,
     outbox: Outbox,
     metrics: Rc<Metrics>,
-    /// Whether health checks carry the fencing token.
+    /// Whether health checks carry the fencing token to the database hosts.
     fence: bool,
 }
 
 impl LeaseService {
-    /// A gateway that holds no lease. `gateways` are the addresses of the fleet by number, and `fence` says whether health
-    /// checks carry the fencing token.
+    /// Starts the service with no lease held. `gateways` has the address of each gateway, indexed by gateway id;
+    /// `fencing_enabled` is whether health checks carry the fencing token.
     ///
     /// # Errors
     ///
-    /// The length of a lease is out of its range.
+    /// Returns an error if the length of a lease is out of its allowed range.
     pub fn new(
         membership: Rc<MembershipService>,
         gateways: Vec<SocketAddr>,
@@ -124,12 +125,13 @@
         Timestamp::from_millis(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
-    /// This process receives datagrams from now on.
+    /// Records that this process receives datagrams from now on. An older process of this gateway may have granted
+    /// leases until now, so this process grants none for the length of a lease.
     pub fn on_socket_opened(&self) {
         self.manager.borrow_mut().on_socket_opened(self.now());
     }
 
-    /// Processes a datagram of leases from gateway `from`; returns the datagrams to send.
+    /// Processes a lease datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
         let now = self.now();
         let mut manager = self.manager.borrow_mut();
@@ -143,7 +145,8 @@
         self.carry_out_actions(&mut manager)
     }
 
-    /// Updates the view of the fleet and the list of tasks, and does what is due; returns the datagrams to send.
+    /// Updates the view of the fleet and the list of tasks, and does the work that is due. Returns the datagrams to
+    /// send.
     pub fn advance(&self, tasks: impl Iterator<Item = LeasedTask>) -> Vec<OutgoingDatagram> {
         let now = self.now();
         let alive = self.membership.alive();
@@ -160,7 +163,7 @@
         self.carry_out_actions(&mut manager)
     }
 
-    /// When [`LeaseService::advance`] has work next.
+    /// Returns when [`LeaseService::advance`] is to be called next, at most [`MAX_ADVANCE_INTERVAL`] from now.
     pub fn due(&self) -> Instant {
         let now = self.now();
         let due = self.manager.borrow().next_due();
@@ -168,24 +171,25 @@
         self.start + Duration::from(due.max(now).min(latest).since_origin())
     }
 
-    /// Whether this gateway is in the majority partition, as of the last [`LeaseService::advance`].
+    /// Returns whether this gateway was in the majority partition at the last call of [`LeaseService::advance`].
     pub fn in_majority(&self) -> bool {
         self.manager.borrow().side() == PartitionSide::Majority
     }
 
-    /// The fencing token under which this gateway may do a task now; none where it does not hold the lease. Ask before
-    /// each act, and do not store the answer.
+    /// Returns the fencing token under which this gateway may perform a task now, or `None` if it does not hold the
+    /// lease. Callers must ask again before each action instead of storing the result, because the lease may expire.
     pub fn fencing_token(&self, task: LeasedTask) -> Option<Epoch> {
         self.manager.borrow().fencing_token(self.now(), task.id())
     }
 
-    /// The fence that a health check of a group carries, where the operators turned fencing on.
+    /// Returns the fence that a health check of a group carries, or `None` if fencing is off.
     pub fn health_check_fence(&self, group: GroupId, epoch: Epoch) -> Option<Fence> {
         let task = LeasedTask::HealthChecks(group).id();
         self.fence.then_some(Fence { task, epoch })
     }
 
-    /// A database host refused the token of a set's health check; returns the datagrams to send.
+    /// Records that a database host rejected the fencing token of a group's health check, so that the lease is no
+    /// longer held. Returns the datagrams to send.
     pub fn token_rejected(&self, group: GroupId) -> Vec<OutgoingDatagram> {
         increment(&self.metrics.leases.fenced);
         let mut manager = self.manager.borrow_mut();
@@ -193,14 +197,15 @@
         self.carry_out_actions(&mut manager)
     }
 
-    /// Releases all leases, as the gateway stops; returns the datagrams to send.
+    /// Releases all leases because this gateway stops. Returns the datagrams to send.
     pub fn release_all(&self) -> Vec<OutgoingDatagram> {
         let mut manager = self.manager.borrow_mut();
         manager.release_all(self.now());
         self.carry_out_actions(&mut manager)
     }
 
-    /// The leases held, as one line: `set:epoch`, `drain-host:epoch`, `list:epoch` or `plan:epoch` for each.
+    /// Returns the held leases as one line for the console, with one entry for each lease: `group:epoch`,
+    /// `drain-host:epoch`, `list:epoch` or `plan:epoch`.
     pub fn status_line(&self) -> String {
         let held = self.manager.borrow().held_leases(self.now());
         let tasks: Vec<String> = held.iter().map(console_entry).collect();
@@ -235,7 +240,7 @@
     }
 }
 
-/// One lease in the answer of the console.
+/// Formats one held lease for the console.
 fn console_entry(held: &HeldLease) -> String {
     let epoch = held.epoch;
     match LeasedTask::from_id(held.task) {
@@ -246,7 +251,7 @@
     }
 }
 
-/// Why a lease was acquired or lost, as the log says it.
+/// Describes for the log why a lease was acquired or lost.
 fn reason(change: LeaseChange) -> String {
     match change {
         LeaseChange::Vacant => "it was vacant".into(),
--- a/src/net/cluster/membership.rs
+++ b/src/net/cluster/membership.rs
@@ -1,9 +1,10 @@
-//! The shell of membership: passes the datagrams of the peer socket and the time to the core (`irisrouter_membership`) and
-//! carries out its actions. It owns the core; nothing is borrowed across an await.
+//! The membership service: passes the datagrams of the peer socket and the current time to the protocol core
+//! (`irisrouter_membership`), and carries out the core's actions. The service owns the core; no borrow of it is held
+//! across an await.
 //!
-//! The peer socket is shared: only datagrams whose first byte is membership's come here. Each change of the view is one
-//! log line and one count; the console's `members` and SIGUSR1 give the view itself. Health-check findings from a gateway
-//! that the view holds down are not used.
+//! The peer socket is shared with other protocols and passes on only the datagrams whose first byte is that of
+//! membership. Each change of the view writes one log line and increments a counter; the console command `members` and
+//! SIGUSR1 print the whole view. Health-check results from a gateway that is down in the view are not used.
 
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
 use crate::net::cluster::service_clock::ServiceClock;
@@ -18,19 +19,19 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// How many peers a gateway joins at start: more than one, so that a single peer that does not answer can't keep it from
-/// joining.
+/// Number of peers to which a gateway sends a join message at start. It is more than one, so that a single unresponsive
+/// peer cannot keep the gateway from joining.
 const INITIAL_PEERS: u32 = 3;
 
-/// The gateways that are alive in the view of this one.
+/// The gateways that are alive in this gateway's view.
 pub struct AliveGateways {
-    /// In ascending order, this gateway included.
+    /// The alive gateways in ascending order, including this gateway.
     pub gateways: Vec<GatewayId>,
-    /// Whether this gateway is on the side of a partition that has the majority of the fleet.
+    /// Whether this gateway reaches the majority of the fleet, and so is on the majority side of any network partition.
     pub majority: bool,
 }
 
-/// Membership of one gateway.
+/// The membership service of one gateway.
 pub struct MembershipService {
     core: RefCell<Membership>,
     clock: ServiceClock,
@@ -39,15 +40,16 @@
 }
 
 impl MembershipService {
-    /// A member joined to a few peers of the list.
+    /// Starts the service and queues a join message to a few peers of the fleet's list.
     ///
-    /// Its generation is the Unix time of its start in seconds, modulo 2^16: a process started later wins over the one
-    /// before it for nine hours. Where that is not so (a clock set back, or a restart after longer), the others send it
-    /// the generation that they know, and it continues as the next.
+    /// The generation of this process is the Unix time of its start in seconds, modulo 2^16. Generations are compared
+    /// modulo 2^16, so a process takes precedence over the previous one if it starts within nine hours of it. Otherwise
+    /// (after a longer time, or if the clock was set back), the other gateways answer with the generation that they
+    /// know, and this process continues with the generation that follows it.
     ///
     /// # Errors
     ///
-    /// The settings do not pass their check, or this gateway's number is not in the list.
+    /// Returns an error if the settings are invalid, or if the fleet's list has no gateway with this gateway's index.
     pub fn new(
         peers: &Peers,
         settings: Settings,
@@ -75,7 +77,7 @@
         })
     }
 
-    /// Processes a membership datagram from gateway `from`; returns what is to be sent.
+    /// Processes a membership datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
@@ -89,7 +91,7 @@
         self.carry_out_actions(&mut core)
     }
 
-    /// Does the work that is due; returns what is to be sent.
+    /// Does the work that is due. Returns the datagrams to send.
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
@@ -97,27 +99,29 @@
         self.carry_out_actions(&mut core)
     }
 
-    /// When [`MembershipService::advance`] is to be called next, within the bound of [`ServiceClock::instant_of`].
+    /// Returns when [`MembershipService::advance`] is to be called next, at most
+    /// [`MAX_SLEEP`](crate::net::cluster::service_clock::MAX_SLEEP) from now.
     pub fn due(&self) -> Instant {
         self.clock.instant_of(self.core.borrow().next_due())
     }
 
-    /// Whether reports from a gateway are used: not once the view holds it down.
+    /// Returns whether health-check results from a gateway are used. They are not if the gateway is down in the view.
     pub fn accepts_from(&self, gateway: GatewayId) -> bool {
         self.core.borrow().view().accepts_from(gateway)
     }
 
-    /// This process.
+    /// Returns the identity of this process: the gateway and the generation.
     pub fn local_process(&self) -> GatewayProcess {
         self.core.borrow().local_process()
     }
 
-    /// This gateway.
+    /// Returns this gateway's id.
     pub fn local_gateway(&self) -> GatewayId {
         self.local_process().gateway
     }
 
-    /// The gateways that are alive in the view; only this one, without a majority, once it has announced that it stops.
+    /// Returns the gateways that are alive in the view. After [`MembershipService::leave`] it returns only this
+    /// gateway, without a majority.
     pub fn alive(&self) -> AliveGateways {
         let core = self.core.borrow();
         let local = core.local_process().gateway;
@@ -138,13 +142,13 @@
         }
     }
 
-    /// The gateways that are alive or suspect, this one included.
+    /// Returns the gateways that are alive or suspect, including this gateway.
     pub fn not_down(&self) -> Vec<GatewayId> {
         let processes = self.not_down_processes().into_iter();
         processes.map(|process| process.gateway).collect()
     }
 
-    /// The processes of the gateways that are alive or suspect, this one included.
+    /// Returns the processes of the gateways that are alive or suspect, including this process.
     pub fn not_down_processes(&self) -> Vec<GatewayProcess> {
         let core = self.core.borrow();
         let members = core.view().members();
@@ -154,12 +158,12 @@
             .collect()
     }
 
-    /// The number of gateways in the fleet's list.
+    /// Returns the number of gateways in the fleet's list.
     pub fn fleet_size(&self) -> u32 {
         self.core.borrow().settings().fleet_size
     }
 
-    /// Announces to a few other gateways that this one stops; returns what is to be sent.
+    /// Announces to a few other gateways that this gateway stops. Returns the datagrams to send.
     pub fn leave(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         let mut core = self.core.borrow_mut();
@@ -168,9 +172,11 @@
         self.carry_out_actions(&mut core)
     }
 
-    /// The view as one line, for the console, SIGUSR1 and the log at the end: how many gateways are reachable, whether
-    /// that is a majority, and of each gateway its state, generation, incarnation, the seconds for which it has been in
-    /// that state, and the seconds since a datagram of its own last arrived (`-` if none has).
+    /// Returns the view as one line, which is printed by the console, on SIGUSR1, and in the log at shutdown. The line
+    /// has the number of reachable gateways, whether they are a majority, whether this gateway is alone, and how many
+    /// of the recent pings were answered. For each gateway it has the state, the generation, the incarnation, the
+    /// seconds since the state or the generation last changed, and the seconds since the last datagram sent by the
+    /// gateway itself (`-` if none has arrived).
     pub fn status_line(&self) -> String {
         let core = self.core.borrow();
         let now = self.clock.now();
@@ -193,7 +199,7 @@
         )
     }
 
-    /// Carries out the core's actions; returns what is to be sent.
+    /// Carries out the core's actions. Returns the datagrams to send.
     fn carry_out_actions(&self, core: &mut Membership) -> Vec<OutgoingDatagram> {
         for action in core.drain_actions() {
             self.carry_out(action);
@@ -222,14 +228,15 @@
     }
 }
 
-/// The peers that a gateway joins at start: those that follow it in the list, continuing at 0 after the last.
+/// Returns the peers that receive a join message at start: those that follow the gateway in the fleet's list, wrapping
+/// around to index 0.
 fn initial_peers(local: GatewayId, fleet_size: u32) -> Vec<GatewayId> {
     (1..=INITIAL_PEERS)
         .map(|offset| GatewayId((local.0 + offset) % fleet_size.max(1)))
         .collect()
 }
 
-/// One gateway in the status line.
+/// Formats one gateway for the status line.
 fn member_status(member: &MemberState, now: Timestamp) -> String {
     let seconds_since = |at| now.saturating_duration_since(at).0 / 1000;
     let last_received = match member.last_received {
@@ -246,7 +253,7 @@
     )
 }
 
-/// One log line for a change of the view.
+/// Logs a change of the view.
 fn log_change(change: &LivenessChange) {
     log!(
         "membership: gateway {} {} -> {} (generation {}, incarnation {})",
--- a/src/net/cluster/mod.rs
+++ b/src/net/cluster/mod.rs
@@ -1,10 +1,11 @@
-//! What gateways agree on with one another.
+//! Services through which the gateways of a fleet coordinate.
 //!
 //! Each service (`membership`, `leases`, `write_intents`, `drains`, `endpoint_watch`,
-//! `site_failover`) is the shell of a package without I/O: it feeds the package with datagrams and
-//! the time, and carries out the resulting actions. None of the services reads from or writes to
-//! the network itself. `peer_socket` owns the UDP socket and calls the services;
-//! `shared_health_checks` runs the rounds of health checks that the gateways share.
+//! `site_failover`) wraps a package that does no I/O: the service passes received datagrams and the
+//! current time to the package, and carries out the actions that the package returns. None of the
+//! services reads from or writes to the network itself. `peer_socket` owns the UDP socket and calls
+//! the services; `shared_health_checks` checks the health of the database hosts and exchanges the
+//! results with the other gateways.
 
 pub mod drains;
 pub mod endpoint_watch;
--- a/src/net/cluster/outbox.rs
+++ b/src/net/cluster/outbox.rs
@@ -1,4 +1,4 @@
-//! Datagrams that a service has produced and that wait to be sent.
+//! Queue of the datagrams that a service has produced and that have not been sent yet.
 
 use irisrouter_cluster_types::GatewayId;
 use std::cell::RefCell;
@@ -7,21 +7,21 @@
 /// A datagram to another gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OutgoingDatagram {
-    /// The address that it is sent to.
+    /// Destination address.
     pub to: SocketAddr,
-    /// Its content.
+    /// Payload of the datagram.
     pub bytes: Vec<u8>,
 }
 
-/// Collects the datagrams of a service, and turns the numbers of gateways into addresses.
+/// Collects the outgoing datagrams of a service, and resolves gateway ids to addresses.
 pub struct Outbox {
-    /// The addresses of all gateways, by their numbers.
+    /// The address of each gateway, indexed by gateway id.
     addresses: Vec<SocketAddr>,
     queued: RefCell<Vec<OutgoingDatagram>>,
 }
 
 impl Outbox {
-    /// An empty outbox. `addresses` are those of all gateways, by their numbers.
+    /// Creates an empty outbox. `addresses` has the address of each gateway, indexed by gateway id.
     pub const fn new(addresses: Vec<SocketAddr>) -> Self {
         Outbox {
             addresses,
@@ -29,8 +29,7 @@
         }
     }
 
-    /// Queues a datagram to this gateway. Nothing is queued where the fleet has no
-    /// such gateway.
+    /// Queues a datagram to `gateway`. Does nothing if the fleet has no gateway with this id.
     pub fn push(&self, gateway: GatewayId, bytes: Vec<u8>) {
         if let Some(&to) = self.addresses.get(gateway.0 as usize) {
             self.queued
--- a/src/net/cluster/peer_sender.rs
+++ b/src/net/cluster/peer_sender.rs
@@ -14,7 +14,7 @@
 }
 
 impl PeerSender {
-    /// A sender on this socket, which does not block.
+    /// Creates a sender on a non-blocking socket.
     pub const fn new(socket: Rc<UdpSocket>, broadcast_address: SocketAddr) -> Self {
         PeerSender {
             socket,
@@ -22,15 +22,16 @@
         }
     }
 
-    /// Sends datagrams, and counts those that the system accepted. A datagram that is lost, or that
-    /// the system has no room for, is not sent again: every service is designed for lost datagrams.
+    /// Sends datagrams, and counts those that the operating system accepted. A datagram that is
+    /// lost, or that does not fit into the send buffer, is not retransmitted, because every service
+    /// tolerates lost datagrams.
     pub fn send_all(&self, datagrams: Vec<OutgoingDatagram>, sent: &Counter) {
         for datagram in datagrams {
             self.send(&datagram.bytes, datagram.to, sent);
         }
     }
 
-    /// Sends a datagram to all gateways, and counts it if the system accepted it.
+    /// Sends a datagram to all gateways, and counts it if the operating system accepted it.
     pub fn broadcast(&self, bytes: &[u8], sent: &Counter) {
         self.send(bytes, self.broadcast_address, sent);
     }
--- a/src/net/cluster/peer_socket.rs
+++ b/src/net/cluster/peer_socket.rs
@@ -1,5 +1,5 @@
-//! The UDP socket between gateways: it receives datagrams for the cluster services, and sends
-//! theirs.
+//! The UDP socket between gateways: receives datagrams and passes them to the cluster services, and
+//! sends the datagrams that the services produce.
 
 use crate::net::cluster::membership::MembershipService;
 use crate::net::cluster::peer_sender::PeerSender;
@@ -24,36 +24,41 @@
 use thiserror::Error;
 use tokio::time::{sleep, Instant};
 
-/// The longest time without a look at the services, where none of them has work earlier.
+/// Longest time between two calls of [`PeerSocket::advance_services`], even if no service has work
+/// due earlier.
 const IDLE_WAIT: Duration = Duration::from_millis(500);
-/// How long datagrams wait for one another, so that a burst of them is taken in one turn: short
-/// against the age at which results of health checks are of no more use.
+/// Time between two receive batches. During this time the datagrams of a burst collect in the
+/// socket's buffer, so that one batch receives them together. It is short compared with the age at
+/// which health-check results become useless.
 const RECEIVE_INTERVAL: Duration = Duration::from_millis(10);
-/// The most datagrams that are received in one turn. Requests go on before the next turn.
+/// Maximum number of datagrams received in one batch. Client requests are served between two
+/// batches.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// One byte more than the longest datagram, so that longer ones are recognized as too long.
+/// One byte more than the longest valid datagram, so that a longer datagram is rejected as too long
+/// instead of being truncated to a valid length.
 const RECEIVE_BUFFER_BYTES: usize = message::MAX_DATAGRAM_BYTES + 1;
 const UNKNOWN_SENDER: &str = "no gateway's address";
 
-/// What the peer socket works with.
+/// The parts of the gateway that the peer socket depends on.
 #[derive(Clone)]
 pub struct Dependencies {
-    /// Receives the results of health checks.
+    /// The router task, to which the results of health checks are posted.
     pub router: Rc<RouterHandle>,
-    /// The database hosts.
+    /// The connections to the database hosts, used to run health checks.
     pub upstream: Rc<Upstream>,
-    /// Counters.
+    /// Counters of sent, received and ignored datagrams.
     pub metrics: Rc<Metrics>,
-    /// The clock of health checks.
+    /// The wall clock that timestamps health checks.
     pub clock: Clock,
-    /// The services that send and receive.
+    /// The cluster services that are turned on.
     pub services: ClusterServices,
-    /// Whether this gateway runs rounds of health checks for all. Without it the socket carries
-    /// membership, write intents and what other gateways send.
+    /// Whether this gateway runs rounds of health checks and shares the results. If it does not, it
+    /// advances only membership and write intents; datagrams received from other gateways are
+    /// processed in either case.
     pub share_health_checks: bool,
 }
 
-/// The peer socket can't be opened.
+/// Error returned if the peer socket cannot be opened.
 #[derive(Debug, Error)]
 #[error("cannot listen on {address}: {source}")]
 pub struct PeerSocketError {
@@ -61,7 +66,7 @@
     source: io::Error,
 }
 
-/// The protocol of a datagram, by its first byte.
+/// The protocol of a datagram, recognized by the first byte.
 enum Protocol {
     Membership,
     Leases,
@@ -69,7 +74,7 @@
     Drains,
     EndpointWatch,
     SiteFailover,
-    /// Health-check results, and whatever no other protocol recognizes.
+    /// Health-check results, and every datagram that no other protocol recognizes.
     HealthChecks,
 }
 
@@ -93,20 +98,20 @@
     }
 }
 
-/// The groups with hosts in service, as of the last look.
+/// Cached list of the groups that have hosts in service.
 #[derive(Default)]
 struct KnownGroups {
-    /// [`Upstream::groups_version`] at that look; none before the first one.
+    /// The [`Upstream::groups_version`] of the cached list; `None` before the list is first read.
     version: Option<u64>,
     groups: Rc<[GroupId]>,
 }
 
-/// The socket between this gateway and the others.
+/// The UDP socket through which this gateway exchanges datagrams with the others.
 pub struct PeerSocket {
     socket: Rc<UdpSocket>,
     sender: PeerSender,
     local_gateway: GatewayId,
-    /// Each gateway, by the address from which it sends.
+    /// Maps the address from which a gateway sends to the gateway.
     gateways_by_address: HashMap<SocketAddr, GatewayId>,
     health_checks: Rc<SharedHealthChecks>,
     known_groups: RefCell<KnownGroups>,
@@ -114,21 +119,21 @@
 }
 
 impl PeerSocket {
-    /// Opens the socket.
+    /// Binds the socket to the listen address of `peers`.
     ///
     /// # Errors
     ///
-    /// The address can't be bound, for example while an older process of this gateway still uses
-    /// it.
+    /// Returns an error if the address cannot be bound, for example because an older process of
+    /// this gateway still uses it.
     pub fn open(peers: &Peers, dependencies: Dependencies) -> Result<Rc<Self>, PeerSocketError> {
         let socket = bind(peers.listen_address).map_err(|source| PeerSocketError {
             address: peers.listen_address,
             source,
         })?;
         let socket = Rc::new(socket);
-        // An older process had the address until now. What it granted to other gateways, or
-        // recorded for them, is not known to this process, which the two services have to allow
-        // for.
+        // An older process of this gateway may have used the address until now. It may have granted
+        // leases to other gateways or recorded write intents for them, which this process does not
+        // know. Both services are therefore told when this process took over.
         if let Some(leases) = &dependencies.services.leases {
             leases.on_socket_opened();
         }
@@ -148,7 +153,7 @@
         }))
     }
 
-    /// Receives datagrams and does the services' work, for ever.
+    /// Receives datagrams and advances the services. Never returns.
     pub async fn run(self: Rc<Self>) {
         let services = &self.dependencies.services;
         let mut next_turn = std::pin::pin!(self.next_turn(0));
@@ -167,7 +172,8 @@
         }
     }
 
-    /// Waits for the next turn, after one in which so many datagrams were received.
+    /// Waits until the next batch of datagrams may be received, given the number of datagrams
+    /// received in the last batch.
     async fn next_turn(&self, received: usize) {
         if received > 0 {
             sleep(RECEIVE_INTERVAL).await;
@@ -176,34 +182,35 @@
         }
     }
 
-    /// Waits until a datagram comes. The runtime watches the socket only meanwhile: else each
-    /// datagram would wake it, also between two turns.
+    /// Waits until a datagram arrives. The socket is registered with the async runtime only during
+    /// this wait; otherwise every datagram would wake the runtime, even between two batches.
     async fn datagram_ready(&self) {
         let watched = self.socket.try_clone();
         match watched.and_then(tokio::net::UdpSocket::from_std) {
-            // An error is reported by the call that receives.
+            // If the socket has an error, the next `recv_from` returns it.
             Ok(watched) => drop(watched.readable().await),
             Err(_) => sleep(RECEIVE_INTERVAL).await,
         }
     }
 
-    /// Receives the datagrams that are waiting, as many as one turn takes, and returns how many
-    /// there were.
+    /// Receives the datagrams in the socket's buffer, at most [`MAX_DATAGRAMS_PER_BATCH`], and
+    /// returns their number.
     fn receive_waiting(&self) -> usize {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
         for received in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => self.receive(&buffer[..length], from),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return received,
-                // The system reports on this call that an earlier datagram was not delivered.
+                // The operating system reports an undelivered earlier datagram as an error of
+                // `recv_from`.
                 Err(_) => increment(&self.dependencies.metrics.gossip.ignored),
             }
         }
         MAX_DATAGRAMS_PER_TURN
     }
 
-    /// Does the work of all services that is due, and returns the time until some service has work
-    /// again.
+    /// Does the work that is due in all services, and returns the time until the next service has
+    /// work due.
     fn advance_services(&self) -> Duration {
         let mut wait = IDLE_WAIT;
         if self.dependencies.share_health_checks {
@@ -218,8 +225,8 @@
         wait.min(self.advance_write_intents())
     }
 
-    /// The groups with hosts in service. The schedule of health checks learns of them when they
-    /// change.
+    /// Returns the groups that have hosts in service, and passes them to the schedule of health
+    /// checks if they have changed.
     fn groups_in_service(&self) -> Rc<[GroupId]> {
         let upstream = &self.dependencies.upstream;
         let version = Some(upstream.groups_version());
@@ -290,7 +297,7 @@
         until(write_intents.due())
     }
 
-    /// Releases all leases, and announces to a few other gateways that this one stops.
+    /// Releases all leases, and announces to a few other gateways that this gateway stops.
     pub fn leave(&self) {
         let metrics = &self.dependencies.metrics;
         if let Some(leases) = &self.dependencies.services.leases {
@@ -303,27 +310,27 @@
         }
     }
 
-    /// Receives a datagram of another gateway.
+    /// Processes a datagram, if it was sent by another gateway of the fleet.
     fn receive(&self, datagram: &[u8], from: SocketAddr) {
         let Some(&gateway) = self.gateways_by_address.get(&from) else {
-            // A datagram from an address outside the list must not make a member of an unknown
-            // process.
+            // Without this check, an unknown process could become a member of the fleet by sending
+            // a datagram.
             ignore_datagram(&self.dependencies.metrics, from, &UNKNOWN_SENDER);
             return;
         };
-        // A datagram to all gateways may also reach its sender.
+        // A broadcast datagram may also be delivered to its sender.
         if gateway == self.local_gateway {
             return;
         }
         match &self.dependencies.services.membership {
             Some(membership) => self.dispatch(datagram, gateway, from, membership),
-            // All other services need membership.
+            // All other services depend on membership, so they are off too.
             None => self.health_checks.receive(datagram, gateway, from),
         }
     }
 
-    /// Hands a datagram to the service of its protocol, and sends what the service answers. A
-    /// datagram for a service that is off is ignored.
+    /// Passes a datagram to the service of its protocol, and sends the service's answers. A
+    /// datagram for a service that is turned off is ignored.
     fn dispatch(
         &self,
         datagram: &[u8],
@@ -343,8 +350,8 @@
                     let answers = leases.receive(datagram, gateway);
                     self.sender.send_all(answers, &metrics.leases.sent);
                 }
-                // Without leases the datagram is treated as health-check results, and ignored as
-                // malformed.
+                // Decoding the datagram as health-check results fails, so that it is counted and
+                // logged as ignored.
                 None => self.health_checks.receive(datagram, gateway, from),
             },
             Protocol::WriteIntents => {
@@ -379,13 +386,13 @@
     }
 }
 
-/// Counts and logs a datagram that is ignored.
+/// Counts and logs an ignored datagram.
 pub fn ignore_datagram(metrics: &Metrics, from: SocketAddr, reason: &dyn Display) {
     increment(&metrics.gossip.ignored);
     log!("a datagram from {from} is ignored: {reason}");
 }
 
-/// The gateways of the fleet's list, by their addresses.
+/// Maps each address of the fleet's list to the gateway with that index.
 fn gateways_by_address(addresses: &[SocketAddr]) -> HashMap<SocketAddr, GatewayId> {
     let gateways = (0..).map(GatewayId);
     addresses.iter().copied().zip(gateways).collect()
@@ -397,7 +404,7 @@
     Ok(socket)
 }
 
-/// The time until an instant; zero if it has passed.
+/// Returns the time until an instant, or zero if the instant has passed.
 fn until(instant: Instant) -> Duration {
     instant.saturating_duration_since(Instant::now())
 }
--- a/src/net/cluster/services.rs
+++ b/src/net/cluster/services.rs
@@ -1,4 +1,4 @@
-//! The cluster services that the operators turned on.
+//! The cluster services that are turned on in the settings.
 
 use crate::net::cluster::drains::DrainService;
 use crate::net::cluster::endpoint_watch::EndpointWatchService;
@@ -10,27 +10,27 @@
 use std::future::pending;
 use std::rc::Rc;
 
-/// The cluster services. Each is none where it is turned off. All services need membership; drains,
-/// the endpoint watch and site failover need leases, too.
+/// The cluster services. A service that is turned off is `None`. All services depend on membership;
+/// drains, the endpoint watch and site failover also depend on leases.
 #[derive(Clone, Default)]
 pub struct ClusterServices {
-    /// Which gateways are alive.
+    /// Tracks which gateways are alive.
     pub membership: Option<Rc<MembershipService>>,
-    /// Which gateway does a task for all.
+    /// Decides which gateway performs a task for the whole fleet.
     pub leases: Option<Rc<LeaseService>>,
-    /// Keyed writes that may have run.
+    /// Records keyed writes that may have been executed.
     pub write_intents: Option<Rc<WriteIntentService>>,
-    /// Drains of database hosts.
+    /// Coordinates drains of database hosts.
     pub drains: Option<Rc<DrainService>>,
-    /// One watch of the endpoint list for all gateways.
+    /// Watches the endpoint list from one gateway on behalf of all.
     pub endpoint_watch: Option<Rc<EndpointWatchService>>,
-    /// Plans for lost sites.
+    /// Distributes failover plans for lost sites.
     pub site_failover: Option<Rc<SiteFailoverService>>,
 }
 
 impl ClusterServices {
-    /// The tasks that have to have a lease holder: the health checks of these groups, the drains,
-    /// the endpoint watch and the planning of site failover.
+    /// Returns the tasks for which a gateway must hold a lease: the health checks of these groups,
+    /// the drains, the endpoint watch and the planning of site failover.
     pub fn leased_tasks(&self, groups: &[GroupId]) -> Vec<LeasedTask> {
         let mut tasks: Vec<LeasedTask> = groups
             .iter()
@@ -50,7 +50,7 @@
         tasks
     }
 
-    /// Waits until a drain command is to be sent; for ever where drains are off.
+    /// Waits until a drain command is to be sent. Never completes if drains are off.
     pub async fn drain_send_requested(&self) {
         match &self.drains {
             Some(drains) => drains.send_requested().await,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Waits until a heartbeat of the endpoint watch is to be sent; for ever where the watch is
+    /// Waits until a heartbeat of the endpoint watch may be due. Never completes if the watch is
     /// off.
     pub async fn endpoint_watch_send_requested(&self) {
         match &self.endpoint_watch {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Waits until a write intent is to be recorded or looked up; for ever where write intents are
+    /// Waits until a datagram of write intents is to be sent. Never completes if write intents are
     /// off.
     pub async fn write_intent_send_requested(&self) {
         match &self.write_intents {
--- a/src/net/cluster/shared_health_checks.rs
+++ b/src/net/cluster/shared_health_checks.rs
@@ -1,10 +1,9 @@
-//! Health checks shared between gateways: the rounds that this gateway runs for all, and the
-//! results of the others.
+//! Health checks shared between gateways: runs rounds of health checks on behalf of all gateways,
+//! and receives the results of the rounds of others.
 //!
 //! `irisrouter_gossip::health_check_schedule` decides when this gateway runs a round, and
-//! `irisrouter_gossip::message` is the format of the results. Results go to the router as events. A
-//! host that the gateway's own endpoint list does not name stays unknown, whatever other gateways
-//! send about it.
+//! `irisrouter_gossip::message` encodes the results. Results are posted to the router as events.
+//! Results for a host that is not in this gateway's own endpoint list are ignored.
 
 use crate::net::cluster::leases::{LeaseService, LeasedTask};
 use crate::net::cluster::membership::MembershipService;
@@ -30,10 +29,10 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{timeout_at, Instant};
 
-/// How long the results of a round wait for one another before they are sent. Without this limit
-/// one silent host would make the results of all the others old.
+/// How long the results of a round are collected before they are sent together. Without this limit,
+/// one unresponsive host would delay the results of all other hosts of the group.
 const RESULT_WAIT: Duration = Duration::from_millis(25);
-/// How long this gateway waits before it looks for new groups, where no round is due earlier.
+/// Time until this gateway checks for new groups, if no round is due earlier.
 const IDLE_WAIT: Duration = Duration::from_millis(500);
 
 /// Runs rounds of health checks, and shares their results with the other gateways.
@@ -53,12 +52,13 @@
 struct RoundLease {
     leases: Rc<LeaseService>,
     group: GroupId,
-    /// The fencing token that the lease had when the round started.
+    /// The fencing token of the lease at the start of the round.
     token: Epoch,
 }
 
 impl RoundLease {
-    /// The lease of a group's health checks; none where this gateway does not hold it.
+    /// Returns the lease on the health checks of a group, or `None` if this gateway does not hold
+    /// it.
     fn acquire(leases: &Rc<LeaseService>, group: GroupId) -> Option<Self> {
         let token = leases.fencing_token(LeasedTask::HealthChecks(group))?;
         Some(RoundLease {
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Whether this gateway still holds the lease with the same token.
+    /// Returns whether this gateway still holds the lease under the same fencing token.
     fn is_held(&self) -> bool {
         let task = LeasedTask::HealthChecks(self.group);
         self.leases.fencing_token(task) == Some(self.token)
@@ -76,7 +76,7 @@
 }
 
 impl SharedHealthChecks {
-    /// Health checks without groups, and without rounds so far.
+    /// Creates the shared health checks, without any groups.
     pub fn new(peers: &Peers, sender: PeerSender, dependencies: &Dependencies) -> Self {
         let gateway_count = peers.gateway_addresses.len() as u32;
         SharedHealthChecks {
@@ -101,10 +101,10 @@
 
     /// Starts the rounds that are due, and returns the time until the next one is.
     ///
-    /// While this gateway is in the majority, those are the rounds of the groups whose lease it
-    /// holds. In a minority, and where leases are off, they are the rounds that the schedule
-    /// assigns by the results that arrived: when in doubt a group is checked by two gateways, never
-    /// by none.
+    /// While this gateway is in the majority partition, it runs the rounds of the groups whose
+    /// leases it holds. In a minority partition, or if leases are off, it runs the rounds that the
+    /// schedule assigns to it, which depend only on the results that arrived. Two gateways may then
+    /// check the same group, but no group is left unchecked.
     pub fn start_due_rounds(self: &Rc<Self>) -> Duration {
         let now = unix_nanoseconds(self.clock.now());
         let mut schedule = self.schedule.borrow_mut();
@@ -131,8 +131,8 @@
         })
     }
 
-    /// Checks the hosts of a group, and shares the results. Under a lease it stops once the lease
-    /// is lost.
+    /// Checks the hosts of a group, and shares the results. A round under a lease starts no further
+    /// checks once the lease is lost.
     async fn run_round(self: Rc<Self>, group: GroupId, lease: Option<RoundLease>) {
         let mut checks = JoinSet::new();
         for member in self.upstream.members_in_service(group) {
@@ -146,7 +146,8 @@
             while let Ok(Some(result)) = timeout_at(deadline, checks.join_next()).await {
                 results.extend(result.ok().flatten());
             }
-            // Later results are shared as they arrive.
+            // Results that arrive after the first batch are sent in further batches of the same
+            // duration.
             deadline = Instant::now() + RESULT_WAIT;
             if !results.is_empty() {
                 self.share(&results);
@@ -155,14 +156,14 @@
         }
     }
 
-    /// Checks one host. Returns what it answered, if it did.
+    /// Checks one host. Returns the result if the host answered with a load report.
     async fn check(
         &self,
         member: MemberId,
         lease: Option<RoundLease>,
     ) -> Option<SharedHealthCheck> {
-        // A process that was suspended in the middle of a round continues the round when it
-        // resumes, though another gateway may hold the lease by then.
+        // If the process was suspended during the round, another gateway may hold the lease by the
+        // time that the round continues.
         if lease.as_ref().is_some_and(|lease| !lease.is_held()) {
             return None;
         }
@@ -191,8 +192,8 @@
         result
     }
 
-    /// Sends results to all gateways. A result that is lost only delays what the others know: they
-    /// run rounds of their own when none arrive.
+    /// Sends results to all gateways. Lost datagrams are not retransmitted: gateways that receive
+    /// no results run rounds of their own.
     fn share(&self, results: &[SharedHealthCheck]) {
         let checked_at = unix_nanoseconds(self.clock.now());
         for chunk in results.chunks(message::MAX_RESULTS) {
@@ -210,8 +211,8 @@
         }
     }
 
-    /// The result as it is sent; none for a host that has been removed, or that did not report its
-    /// role.
+    /// Converts a result to its message format. Returns `None` for a host that has been removed, or
+    /// that did not report its role.
     fn to_message_result(&self, result: &SharedHealthCheck) -> Option<HealthCheckResult> {
         Some(HealthCheckResult {
             host: self.upstream.fleet_host_id(result.member)?,
@@ -221,12 +222,12 @@
         })
     }
 
-    /// Receives the results of gateway `gateway`, which sent them from address `from`.
+    /// Processes a datagram of health-check results that `gateway` sent from the address `from`.
     pub fn receive(&self, datagram: &[u8], gateway: GatewayId, from: SocketAddr) {
         let now = self.clock.now();
         if let Some(membership) = &self.membership {
             if !membership.accepts_from(gateway) {
-                // Results of a gateway that is held to be down stop counting at once.
+                // Results of a gateway that is down in the membership view are not used.
                 increment(&self.metrics.gossip.ignored);
                 return;
             }
@@ -237,10 +238,10 @@
         }
     }
 
-    /// Hands results to the router, and records the rounds that they come from.
+    /// Posts results to the router, and records their rounds in the schedule.
     fn apply(&self, message: &Message, gateway: GatewayId, now: Timestamp) {
         increment(&self.metrics.gossip.received);
-        // Clocks differ a little: no result counts as made in the future.
+        // The clocks of gateways differ, so a time in the future is replaced by the current time.
         let checked_at = timestamp(message.checked_at).min(now);
         let mut results = Vec::with_capacity(message.results.len());
         let mut last_group = None;
@@ -249,7 +250,7 @@
             else {
                 continue;
             };
-            // The results of a round are of one group.
+            // All results of one round are of the same group, so the round is recorded once.
             if last_group.replace(group) != Some(group) {
                 let mut schedule = self.schedule.borrow_mut();
                 schedule.record_round(group.0, gateway, unix_nanoseconds(checked_at));
@@ -271,12 +272,12 @@
     }
 }
 
-/// An instant of the router's clock as the shared results carry it.
+/// Converts an instant of the router's clock to the type used in messages.
 fn unix_nanoseconds(instant: Timestamp) -> UnixNanoseconds {
     UnixNanoseconds(instant.as_nanos())
 }
 
-/// An instant of a shared result on the router's clock: both count Unix time.
+/// Converts an instant from a message to the router's clock. Both count nanoseconds of Unix time.
 fn timestamp(instant: UnixNanoseconds) -> Timestamp {
     Timestamp::from_nanos(instant.0)
 }
--- a/src/net/cluster/site_failover.rs
+++ b/src/net/cluster/site_failover.rs
@@ -1,9 +1,10 @@
-//! The shell of site failover: reports what this gateway observes of sites, plans while it holds
-//! the lease for that, and follows the plan in force.
+//! The site-failover service: reports the load that arrives at this gateway and the reachability of
+//! the sites, makes failover plans while this gateway holds the planning lease, and follows the
+//! plan in force.
 //!
-//! Every gateway sends load reports to the gateways that may hold the planning lease. The one that
-//! holds it sums the reports up and sends its plan to all gateways. Every gateway follows the
-//! latest plan: it hands the plan to the router as [`FailoverDirectives`].
+//! Every gateway sends load reports to the first candidates for the planning lease. The holder of
+//! the lease adds up the reports and broadcasts its plan. Every gateway follows the latest plan by
+//! passing it to the router as [`FailoverDirectives`].
 
 use crate::net::cluster::leases::{LeaseService, LeasedTask};
 use crate::net::cluster::membership::MembershipService;
@@ -31,63 +32,64 @@
 
 /// Time between two load reports, and between two plans.
 const PERIOD: Milliseconds = Milliseconds(500);
-/// Load reports go to this many gateways: the first candidates for the planning lease, any of which
-/// may come to hold it.
+/// Number of candidates for the planning lease that receive load reports. It is more than one, so
+/// that the next holder already has reports when the lease changes hands.
 const REPORT_RECEIVERS: usize = 3;
 
-/// The names behind the indexes of sites and classes.
+/// The names of the sites and classes, which plans and load reports refer to by index.
 pub struct SiteNames {
-    /// The zones, in the order of the settings. Each is a site.
+    /// Names of the zones in the order of the settings. Each zone is a site.
     pub zones: Vec<String>,
-    /// The request classes, in the order of the settings.
+    /// Names of the request classes in the order of the settings.
     pub classes: Vec<String>,
     /// This gateway's site.
     pub local_site: SiteIndex,
 }
 
-/// What the operators set.
+/// Settings of site failover that the operators choose.
 pub struct SiteFailoverConfig {
-    /// The settings of plans.
+    /// Settings of the planner and of the followers.
     pub settings: Settings,
-    /// What a warm host of size one bears, in requests per second.
+    /// Capacity of a warmed-up host of size 1, in requests per second.
     pub capacity_per_s: f64,
 }
 
-/// The slots in which the router has the request classes.
+/// Maps the router's class slots to the names of the request classes.
 ///
-/// A slot's class changes with the platform's settings, and so differs from the class's index, by
-/// which plans and load reports know it.
+/// The class in a slot changes with the platform's settings. Plans and load reports therefore
+/// identify a class by its index in [`SiteNames::classes`], not by its slot.
 pub trait ClassSlots {
-    /// The name of the class in each slot; empty where the newest settings have none there.
+    /// Returns the name of the class in each slot. The name is empty if the current settings have
+    /// no class in the slot.
     fn class_names_by_slot(&self) -> Vec<String>;
 }
 
-/// The parts of the gateway that the service works with.
+/// The parts of the gateway that the service depends on.
 pub struct Dependencies {
-    /// Which gateways are alive.
+    /// Reports which gateways are alive.
     pub membership: Rc<MembershipService>,
-    /// Which gateway plans.
+    /// Decides which gateway makes the plans.
     pub leases: Rc<LeaseService>,
-    /// The database hosts, and what is observed of them.
+    /// The database hosts, their sizes and their reachability.
     pub upstream: Rc<Upstream>,
-    /// The slots of the request classes.
+    /// The names of the request classes by slot.
     pub class_slots: Rc<dyn ClassSlots>,
     /// Receives the directives of the plan in force.
     pub router: Rc<RouterHandle>,
-    /// Counters.
+    /// Counters of plans and datagrams.
     pub metrics: Rc<Metrics>,
 }
 
-/// What this gateway has observed since its last load report.
+/// Requests that arrived at this gateway since its last load report.
 #[derive(Default)]
 struct LocalLoad {
-    /// Requests that arrived, by the slots of their classes.
+    /// Number of requests that arrived, by the slot of their class.
     arrived_by_slot: RefCell<Vec<u16>>,
     /// When the last load report was made.
     last_report_at: Cell<Timestamp>,
 }
 
-/// What was last handed on of the plan in force, so that only changes are handed on.
+/// The directives and the log line that were last published, so that only changes are published.
 #[derive(Default)]
 struct Published {
     directives: RefCell<FailoverDirectives>,
@@ -109,11 +111,11 @@
 }
 
 impl SiteFailoverService {
-    /// A gateway that has received no plan.
+    /// Starts the service without any received plan.
     ///
     /// # Errors
     ///
-    /// The settings do not pass their checks.
+    /// Returns an error if the settings are invalid.
     pub fn new(
         dependencies: Dependencies,
         names: SiteNames,
@@ -137,7 +139,7 @@
         })
     }
 
-    /// Counts a request of the class in this slot.
+    /// Counts an arrived request of the class in this slot.
     pub fn request_arrived(&self, slot: usize) {
         let mut arrived = self.local_load.arrived_by_slot.borrow_mut();
         if arrived.len() <= slot {
@@ -146,7 +148,7 @@
         arrived[slot] = arrived[slot].saturating_add(1);
     }
 
-    /// Receives a datagram of gateway `from`.
+    /// Processes a datagram from gateway `from`.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) {
         match codec::decode(datagram) {
             Ok(Message::SiteLoadReport(report)) => {
@@ -163,7 +165,8 @@
         }
     }
 
-    /// Reports and plans once a period. Returns the datagrams to send.
+    /// Sends a load report and makes a plan once every [`REPORT_PERIOD`]. Returns the datagrams to
+    /// send.
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         let last_report_at = self.local_load.last_report_at.get();
@@ -187,18 +190,18 @@
             });
             self.follow(plan);
         }
-        // Also when no plan was received: the plan in force may have expired.
+        // Called even if no plan was received, because the plan in force may have expired.
         self.publish_plan_in_force();
         datagrams
     }
 
-    /// The time until [`SiteFailoverService::advance`] has work.
+    /// Returns the time until [`SiteFailoverService::advance`] has work due.
     pub fn due(&self) -> Duration {
         let due_at = self.local_load.last_report_at.get() + PERIOD;
         ServiceClock::time_until(self.clock.now(), due_at)
     }
 
-    /// What this gateway observed since the last load report. The counts start over.
+    /// Returns the load report for the time since the last one, and resets the counts.
     fn take_load_report(&self, period: Milliseconds) -> SiteLoadReport {
         let counts = self.local_load.arrived_by_slot.take();
         let slot_classes = self.dependencies.class_slots.class_names_by_slot();
@@ -219,7 +222,7 @@
         }
     }
 
-    /// Queues the load report to the candidates for the planning lease.
+    /// Queues the load report to the first candidates for the planning lease, except this gateway.
     fn queue_load_report(&self, report: &SiteLoadReport, alive: &[GatewayId]) {
         let datagram = codec::encode_load_report(report);
         let local_gateway = self.local_gateway();
@@ -236,7 +239,7 @@
         self.dependencies.membership.local_gateway()
     }
 
-    /// Plans if this gateway holds the lease for it. Returns the plan to send.
+    /// Makes a plan if this gateway holds the planning lease. Returns the plan if it is to be sent.
     fn plan_if_leased(&self, now: Timestamp, alive_count: usize) -> Option<Plan> {
         let leases = &self.dependencies.leases;
         let epoch = leases.fencing_token(LeasedTask::SiteFailover)?;
@@ -251,7 +254,7 @@
         })
     }
 
-    /// Follows a plan if it is later than the one followed so far.
+    /// Follows a plan if it is later than the latest plan received so far.
     fn follow(&self, plan: Plan) {
         let is_followed = self.follower.borrow_mut().receive(self.clock.now(), plan);
         if is_followed {
@@ -259,8 +262,8 @@
         }
     }
 
-    /// Hands the plan in force to the router, and writes it to the log, where it differs from the
-    /// last one.
+    /// Posts the directives of the plan in force to the router and logs the plan, each only if it
+    /// differs from the one last published.
     fn publish_plan_in_force(&self) {
         let follower = self.follower.borrow();
         let plan = follower.plan_in_force(self.clock.now());
@@ -279,7 +282,8 @@
         }
     }
 
-    /// The directives of a plan, by the slots of classes and the ids of zones.
+    /// Converts a plan to directives, which refer to classes by slot and to zones by the router's
+    /// zone id.
     fn failover_directives(&self, plan: &Plan) -> FailoverDirectives {
         let slot_classes = self.dependencies.class_slots.class_names_by_slot();
         let admitted_share = |slot_class: &String| {
@@ -305,7 +309,7 @@
         }
     }
 
-    /// The plan in force as one line, for the console.
+    /// Returns the plan in force as one line for the console.
     pub fn status_line(&self) -> String {
         let follower = self.follower.borrow();
         console_line(follower.plan_in_force(self.clock.now()), &self.names)
--- a/src/net/cluster/site_failover_planning.rs
+++ b/src/net/cluster/site_failover_planning.rs
@@ -1,7 +1,8 @@
-//! Planning of site failover, on the gateway that holds the lease for it.
+//! Planning of site failover on the gateway that holds the planning lease.
 //!
-//! The planner judges sites by the sums of the load reports of more than half of the gateways that
-//! are alive. Plans are sent while they change anything, and a few times after that.
+//! The planner decides the state of each site from the sums of the load reports, once more than
+//! half of the alive gateways have sent one. Plans are sent as long as they change anything, and a
+//! few times after that.
 
 use crate::net::cluster::site_failover::SiteNames;
 use crate::net::cluster::site_failover_status::state_label;
@@ -11,46 +12,48 @@
 use irisrouter_site_failover::{Plan, Planner, Settings, SettingsError};
 use std::cell::{Cell, RefCell};
 
-/// A gateway whose latest load report is older than this is not counted.
+/// Load reports older than this are removed, so that a gateway that stopped reporting is no longer
+/// counted.
 const REPORT_EXPIRY: Milliseconds = Milliseconds(3_000);
-/// How often a plan that is over is still sent, as datagrams may be lost. A gateway that receives
-/// none of them follows the last plan until it expires.
+/// Start of the countdown of inactive plans, which change nothing: they are sent while the
+/// countdown is above 0 after its decrement. They are sent repeatedly because datagrams may be
+/// lost; a gateway that receives none of them follows the last plan until that plan expires.
 const CLOSING_PLANS: u32 = 6;
 
-/// The planner of this gateway, and what it plans with.
+/// The planner of this gateway, with the load reports that it works from.
 pub struct Planning {
     planner: RefCell<Planner>,
     reports: RefCell<SiteLoadReports>,
     /// The epoch under which this gateway last planned.
     last_epoch: Cell<Epoch>,
-    /// How often a plan that is over is still to be sent.
+    /// Countdown from [`INACTIVE_PLAN_COUNTDOWN`], restarted by each plan that changes anything.
     closing_plans: Cell<u32>,
-    /// What a warm host of size one bears, in requests per second.
+    /// Capacity of a warmed-up host of size 1, in requests per second.
     capacity_per_s: f64,
 }
 
-/// What this gateway knows when it is to plan.
+/// The state of this gateway from which a plan is made.
 pub struct PlanningInput<'a> {
-    /// The time.
+    /// The current time.
     pub now: Timestamp,
-    /// The epoch of the lease under which this gateway plans.
+    /// The epoch of the planning lease that this gateway holds.
     pub epoch: Epoch,
-    /// How many gateways are alive, this one included.
+    /// The number of alive gateways, including this one.
     pub alive_count: usize,
-    /// The plan that this gateway follows.
+    /// The plan that this gateway follows, if any.
     pub plan_in_force: Option<&'a Plan>,
-    /// The sums of the sizes of the hosts in each zone.
+    /// The sum of the sizes of the hosts in each zone, in the order of [`SiteNames::zones`].
     pub zone_sizes: &'a [f64],
-    /// The names behind the indexes of sites and classes.
+    /// The names of the sites and classes.
     pub names: &'a SiteNames,
 }
 
 impl Planning {
-    /// A gateway that has never planned and has no load report.
+    /// Creates a planner without any load reports.
     ///
     /// # Errors
     ///
-    /// The settings do not pass their checks.
+    /// Returns an error if the settings are invalid.
     pub fn new(settings: Settings, capacity_per_s: f64) -> Result<Self, SettingsError> {
         Ok(Self {
             planner: RefCell::new(Planner::new(settings)?),
@@ -72,12 +75,12 @@
         self.reports.borrow_mut().remove_before(oldest);
     }
 
-    /// The plan to send; none where too few gateways have reported, or a plan that changes nothing
-    /// has been sent often enough.
+    /// Makes the next plan. Returns `None` if at most half of the alive gateways have reported, or
+    /// if enough inactive plans have been sent.
     pub fn next_plan(&self, input: &PlanningInput<'_>) -> Option<Plan> {
         let reports = self.reports.borrow();
-        // A gateway that has just acquired the lease would judge sites by its own observations
-        // alone.
+        // Otherwise a gateway that has just acquired the lease would decide the state of sites from
+        // its own observations alone.
         if 2 * reports.gateway_count() <= input.alive_count {
             return None;
         }
@@ -99,7 +102,7 @@
         (closing_plans > 0).then_some(plan)
     }
 
-    /// Feeds the planner with the sums of all reports, and logs changes of state.
+    /// Passes the sums of all reports to the planner, and logs the sites whose state changed.
     fn observe_sites(
         &self,
         input: &PlanningInput<'_>,
--- a/src/net/cluster/site_failover_status.rs
+++ b/src/net/cluster/site_failover_status.rs
@@ -1,12 +1,12 @@
-//! Failover plans as text, for the console and the log.
+//! Formats failover plans for the console and the log.
 //!
-//! The console's answer is an interface that operators' tools read. The log uses the same labels
-//! for the states of sites, so that the two can be compared.
+//! Operators' tools parse the console's answer. The log uses the same labels for site states, so
+//! that the two can be compared.
 
 use crate::net::cluster::site_failover::SiteNames;
 use irisrouter_site_failover::{Plan, SitePlan, SiteState};
 
-/// The label of a state.
+/// Returns the label of a site state.
 pub const fn state_label(state: SiteState) -> &'static str {
     match state {
         SiteState::Up => "up",
@@ -15,8 +15,8 @@
     }
 }
 
-/// The plan in force as one line for the console: the plan's version; of each site its state,
-/// budget, recovery ramp and load distribution; the admitted share of each class that is not
+/// Formats the plan in force as one line for the console: the plan's version; the state, budget,
+/// recovery ramp and load distribution of each site; the admitted share of each class that is not
 /// admitted in full; and the retry delay.
 pub fn console_line(plan: Option<&Plan>, names: &SiteNames) -> String {
     let Some(plan) = plan else {
@@ -58,8 +58,9 @@
     )
 }
 
-/// The plan in force for the log: its epoch, the states of the sites and the classes that are shed.
-/// The text changes only when one of these does, though a new plan arrives every period.
+/// Formats the plan in force for the log: its epoch, the states of the sites and the classes that
+/// are shed. The text changes only when one of these changes, although a new plan arrives every
+/// period.
 pub fn log_line(plan: Option<&Plan>, names: &SiteNames) -> String {
     let Some(plan) = plan else {
         return "no plan in force".into();
@@ -83,7 +84,7 @@
     )
 }
 
-/// The classes that are not admitted in full, and the shares of them that are admitted.
+/// Returns the classes that are not admitted in full, each with the share that is admitted.
 fn shed_classes<'a>(
     plan: &'a Plan,
     names: &'a SiteNames,
--- a/src/net/cluster/write_intents.rs
+++ b/src/net/cluster/write_intents.rs
@@ -1,7 +1,7 @@
-//! Write intents: `irisrouter_write_intents` connected to this gateway.
+//! The write-intent service, which runs the intent store of `irisrouter_write_intents` on this gateway.
 //!
-//! The store gets datagrams and the time. The tasks of requests record and look up keyed writes here, and wait for the
-//! outcomes. The peer socket sends the resulting datagrams, and is woken for them.
+//! The service passes datagrams and the current time to the store. Request tasks record and look up keyed writes
+//! through the service, and wait for the outcomes. The service wakes the peer socket when there are datagrams to send.
 
 use crate::net::cluster::membership::MembershipService;
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
@@ -17,33 +17,34 @@
 use tokio::sync::{oneshot, Notify};
 use tokio::time::Instant;
 
-/// What is known of the earlier attempts of a write that may be a retry.
+/// Result of looking up whether an earlier attempt of a write may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EarlierAttempt {
-    /// The write was never sent.
+    /// No earlier attempt was sent to a host.
     NeverSent,
-    /// The write may have run from this time on.
+    /// An earlier attempt may have been executed at this time or later.
     MayHaveRun(UnixMilliseconds),
-    /// Too few of the gateways that would know have answered.
+    /// Unknown, because too few of the gateways that store the write's intent have answered.
     Unproven,
 }
 
-/// The write intents of one gateway, and those that it holds as a replica of others.
+/// The write-intent service of one gateway. It stores the gateway's own intents, and replicas of the intents of other
+/// gateways.
 pub struct WriteIntentService {
     store: RefCell<IntentStore>,
     membership: Rc<MembershipService>,
     clock: ServiceClock,
     metrics: Rc<Metrics>,
-    /// The tasks that wait for the outcomes of records and look-ups.
+    /// Senders to the request tasks that wait for the outcome of a record or look-up.
     waiting: RefCell<HashMap<OperationId, oneshot::Sender<Outcome>>>,
     outbox: Outbox,
     datagrams_waiting: Notify,
-    /// Whether clients mark their retries. Where they do not, any write may be one.
+    /// Whether clients mark their retries. If they do not, any write may be a retry.
     clients_mark_retries: bool,
 }
 
 impl WriteIntentService {
-    /// A gateway without any intents. `gateways` are the addresses of the fleet by number.
+    /// Starts the service without any intents. `gateways` has the address of each gateway, indexed by gateway id.
     pub fn new(
         membership: Rc<MembershipService>,
         gateways: Vec<SocketAddr>,
@@ -68,18 +69,20 @@
         }
     }
 
-    /// This process receives datagrams from now on.
+    /// Records that this process receives datagrams from now on. Intents that were replicated to an older process of
+    /// this gateway are not known to this one.
     pub fn on_socket_opened(&self) {
         self.store.borrow_mut().on_socket_opened(self.clock.now());
     }
 
-    /// Whether a write may be one that another gateway has sent; `marked` where the client marked it as a retry.
+    /// Returns whether a write may be a retry of a write that another gateway has sent. `marked` is whether the client
+    /// marked the write as a retry.
     pub fn may_be_retry(&self, marked: bool) -> bool {
         marked || !self.clients_mark_retries
     }
 
-    /// Records a write with its replicas before it is sent: it may run from `first_sent_at` on. Returns whether
-    /// enough replicas acknowledged it.
+    /// Records the intent of a write at its replicas before the write is sent; the write may be executed from
+    /// `first_sent_at` on. Returns whether enough replicas acknowledged the intent.
     pub async fn record(&self, key: KeyHash, first_sent_at: UnixMilliseconds) -> bool {
         let gateways = self.gateways_up();
         let outcome = self
@@ -94,7 +97,7 @@
         recorded
     }
 
-    /// Looks up at the replicas of a write whether it may have run.
+    /// Asks the replicas of a write's intent whether an earlier attempt may have been executed.
     pub async fn look_up(&self, key: KeyHash) -> EarlierAttempt {
         let gateways = self.gateways_up();
         let outcome = self
@@ -115,13 +118,13 @@
         found
     }
 
-    /// Withdraws the intent of a write that never ran.
+    /// Withdraws the intent of a write that was never executed.
     pub fn withdraw(&self, key: KeyHash) {
         let gateways = self.gateways_up();
         self.call_store(|store, _| store.withdraw(key, &gateways));
     }
 
-    /// Processes a datagram from gateway `from`; returns the datagrams to send.
+    /// Processes a datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
         self.call_store(|store, now| {
             if let Err(error) = store.receive(now, from, datagram) {
@@ -132,13 +135,13 @@
         self.outbox.take()
     }
 
-    /// Does what is due; returns the datagrams to send.
+    /// Does the work that is due. Returns the datagrams to send.
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
         self.call_store(|store, now| store.advance(now));
         self.outbox.take()
     }
 
-    /// When [`WriteIntentService::advance`] has work next.
+    /// Returns when [`WriteIntentService::advance`] is to be called next.
     pub fn due(&self) -> Instant {
         self.clock.instant_of(self.store.borrow().next_due())
     }
@@ -148,7 +151,7 @@
         self.datagrams_waiting.notified().await;
     }
 
-    /// The gateways that are alive or suspect.
+    /// Returns the gateways that are alive or suspect.
     fn gateways_up(&self) -> Vec<GatewayId> {
         self.membership.not_down()
     }
@@ -159,7 +162,7 @@
         start: impl FnOnce(&mut IntentStore, Timestamp) -> OperationId,
     ) -> Option<Outcome> {
         let (sender, outcome) = oneshot::channel();
-        // The outcome may be there at once, so the sender is registered before the actions are carried out.
+        // The store may decide the outcome immediately, so the sender is registered before the actions are carried out.
         self.call_store(|store, now| {
             let operation = start(store, now);
             self.waiting.borrow_mut().insert(operation, sender);
@@ -179,7 +182,7 @@
                 Action::Send { to, bytes } => self.outbox.push(to, bytes),
                 Action::Ended { operation, outcome } => {
                     if let Some(waiting) = self.waiting.borrow_mut().remove(&operation) {
-                        // A request that has ended meanwhile no longer waits for the outcome.
+                        // The send fails if the request has ended meanwhile, which needs no handling.
                         let _ = waiting.send(outcome);
                     }
                 }
