--- a/crates/cluster-types/src/identifiers.rs
+++ b/crates/cluster-types/src/identifiers.rs
@@ -2,25 +2,26 @@
 
 use std::fmt;
 
-/// A gateway, by its index in the fleet's list of peers. The same at every gateway.
+/// Identifies a gateway by its index in the fleet's list of peers. The id is the same at every
+/// gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GatewayId(pub u32);
 
-/// The generation of a gateway's process: it grows with each start, modulo 2^16.
+/// The generation of a gateway's process. It increases with each start, modulo 2^16.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Generation(pub u16);
 
-/// One process of a gateway. A gateway that is started again is another process.
+/// Identifies one process of a gateway. A restarted gateway is a different process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GatewayProcess {
     /// The gateway.
     pub gateway: GatewayId,
-    /// The generation of its process.
+    /// The generation of the process.
     pub generation: Generation,
 }
 
 impl GatewayProcess {
-    /// The process of this gateway in generation 0.
+    /// Returns the process of `gateway` that has generation 0.
     #[must_use]
     pub const fn first(gateway: GatewayId) -> Self {
         Self {
@@ -30,27 +31,29 @@
     }
 }
 
-/// A database host, by the number under which all gateways know it: a hash of its name.
+/// Identifies a database host by a hash of its name. The id is the same at every gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub u32);
 
-/// A task that one gateway does for the fleet, under a lease. The same at every gateway.
+/// Identifies a task that one gateway performs for the whole fleet, under a lease. The id is the
+/// same at every gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId(pub u64);
 
-/// The epoch of a lease, which is its fencing token: it grows with each change of holder.
+/// The epoch of a lease, which serves as its fencing token. It increases with each change of
+/// holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The epoch right after this one.
+    /// Returns the epoch that follows this one.
     #[must_use]
     pub const fn next(self) -> Self {
         Self(self.0 + 1)
     }
 }
 
-/// The plain number, as log lines and the console show it.
+/// Implements `Display` as the plain number, which is the format in log lines and console answers.
 macro_rules! display_as_number {
     ($($identifier:ty),+) => {
         $(impl fmt::Display for $identifier {
@@ -63,7 +66,7 @@
 
 display_as_number!(GatewayId, Generation, Epoch);
 
-/// Six hexadecimal digits, as log lines and the console show it.
+/// Formats the id as six hexadecimal digits, as in log lines and console answers.
 impl fmt::Display for HostId {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "{:06x}", self.0)
--- a/crates/cluster-types/src/lib.rs
+++ b/crates/cluster-types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Identifiers and units of time that the packages of the cluster share: membership, leases, write intents, drains, the
-//! endpoint watch and site failover.
+//! Identifiers and time types shared by the cluster packages: membership, leases, write intents, drains, the endpoint
+//! watch and site failover.
 //!
-//! Each is a newtype, so that a gateway cannot be mistaken for a host, nor an instant for a duration. The package does no
-//! I/O and reads no clock. How these values are laid out in datagrams is up to each package's codec.
+//! Each is a newtype, so that a gateway cannot be mistaken for a host, nor an instant for a duration. The package does
+//! no I/O and reads no clock. Each package's codec defines how it encodes these values in datagrams.
 
 #![forbid(unsafe_code)]
 
--- a/crates/cluster-types/src/time.rs
+++ b/crates/cluster-types/src/time.rs
@@ -1,15 +1,15 @@
-//! Instants and durations in whole milliseconds. A package is given the time by its caller and computes with integers, so
-//! that the same events give the same results everywhere.
+//! Instants and durations in whole milliseconds. The cluster packages take the time from their callers and compute with
+//! integers, so that the same events produce the same results on every machine.
 
 use std::fmt;
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 use std::time::Duration;
 
-/// A length of time in milliseconds.
+/// A duration in milliseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Milliseconds(pub u64);
 
-/// An instant on the caller's monotonic clock, in milliseconds since that clock's origin.
+/// An instant on the caller's monotonic clock, in milliseconds since the origin of that clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Timestamp(u64);
 
@@ -18,22 +18,22 @@
 pub struct UnixMilliseconds(pub u64);
 
 impl Milliseconds {
-    /// No time at all.
+    /// The zero duration.
     pub const ZERO: Self = Self(0);
 
-    /// This length less another one; zero where the other one is longer.
+    /// Subtracts a duration. Returns zero if `other` is longer.
     #[must_use]
     pub const fn saturating_sub(self, other: Self) -> Self {
         Self(self.0.saturating_sub(other.0))
     }
 
-    /// This length and another one; the longest length where the sum does not fit.
+    /// Adds a duration. Returns the longest duration if the sum overflows.
     #[must_use]
     pub const fn saturating_add(self, other: Self) -> Self {
         Self(self.0.saturating_add(other.0))
     }
 
-    /// This length, this many times; the longest length where the product does not fit.
+    /// Multiplies the duration. Returns the longest duration if the product overflows.
     #[must_use]
     pub const fn saturating_mul(self, factor: u64) -> Self {
         Self(self.0.saturating_mul(factor))
@@ -43,79 +43,79 @@
 impl Timestamp {
     /// The origin of the caller's clock.
     pub const ZERO: Self = Self(0);
-    /// Later than any other instant: what is due then is never due.
+    /// The latest instant. As a due time it means never.
     pub const MAX: Self = Self(u64::MAX);
 
-    /// The instant at which this many milliseconds have passed since the origin.
+    /// Creates the instant this many milliseconds after the origin.
     #[must_use]
     pub const fn from_millis(milliseconds: u64) -> Self {
         Self(milliseconds)
     }
 
-    /// Milliseconds since the origin.
+    /// Returns the number of milliseconds since the origin.
     #[must_use]
     pub const fn as_millis(self) -> u64 {
         self.0
     }
 
-    /// The time since the origin.
+    /// Returns the duration since the origin.
     #[must_use]
     pub const fn since_origin(self) -> Milliseconds {
         Milliseconds(self.0)
     }
 
-    /// The time since an earlier instant; zero where that one is later.
+    /// Returns the duration since an earlier instant, or zero if `earlier` is in fact later.
     #[must_use]
     pub const fn saturating_duration_since(self, earlier: Self) -> Milliseconds {
         Milliseconds(self.0.saturating_sub(earlier.0))
     }
 
-    /// This length of time before the instant; the origin where the clock had not begun by then.
+    /// Returns the instant that is `duration` earlier, or the origin if that would be before the origin.
     #[must_use]
-    pub const fn saturating_sub(self, length: Milliseconds) -> Self {
-        Self(self.0.saturating_sub(length.0))
+    pub const fn saturating_sub(self, duration: Milliseconds) -> Self {
+        Self(self.0.saturating_sub(duration.0))
     }
 
-    /// This length of time after the instant; [`Timestamp::MAX`] where that is beyond the clock's end.
+    /// Returns the instant that is `duration` later, or [`Timestamp::MAX`] on overflow.
     #[must_use]
-    pub const fn saturating_add(self, length: Milliseconds) -> Self {
-        Self(self.0.saturating_add(length.0))
+    pub const fn saturating_add(self, duration: Milliseconds) -> Self {
+        Self(self.0.saturating_add(duration.0))
     }
 }
 
 impl UnixMilliseconds {
-    /// The time since an earlier instant; zero where that one is later.
+    /// Returns the duration since an earlier instant, or zero if `earlier` is in fact later.
     #[must_use]
     pub const fn saturating_duration_since(self, earlier: Self) -> Milliseconds {
         Milliseconds(self.0.saturating_sub(earlier.0))
     }
 
-    /// This length of time before the instant; the Unix epoch where it was later than that.
+    /// Returns the instant that is `duration` earlier, or the Unix epoch if that would be before the epoch.
     #[must_use]
-    pub const fn saturating_sub(self, length: Milliseconds) -> Self {
-        Self(self.0.saturating_sub(length.0))
+    pub const fn saturating_sub(self, duration: Milliseconds) -> Self {
+        Self(self.0.saturating_sub(duration.0))
     }
 }
 
 impl Add<Milliseconds> for Timestamp {
     type Output = Self;
 
-    fn add(self, length: Milliseconds) -> Self {
-        Self(self.0 + length.0)
+    fn add(self, duration: Milliseconds) -> Self {
+        Self(self.0 + duration.0)
     }
 }
 
 impl AddAssign<Milliseconds> for Timestamp {
-    fn add_assign(&mut self, length: Milliseconds) {
-        self.0 += length.0;
+    fn add_assign(&mut self, duration: Milliseconds) {
+        self.0 += duration.0;
     }
 }
 
 impl Add<Milliseconds> for UnixMilliseconds {
     type Output = Self;
 
-    fn add(self, length: Milliseconds) -> Self {
-        Self(self.0 + length.0)
+    fn add(self, duration: Milliseconds) -> Self {
+        Self(self.0 + duration.0)
     }
 }
 
@@ -152,12 +152,12 @@
 }
 
 impl From<Milliseconds> for Duration {
-    fn from(length: Milliseconds) -> Self {
-        Duration::from_millis(length.0)
+    fn from(duration: Milliseconds) -> Self {
+        Duration::from_millis(duration.0)
     }
 }
 
-/// The plain number, without its unit.
+/// Formats the plain number, without a unit.
 impl fmt::Display for Milliseconds {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
--- a/crates/cluster-types/tests/identifiers.rs
+++ b/crates/cluster-types/tests/identifiers.rs
@@ -1,4 +1,4 @@
-//! How identifiers are shown to people, and the order of epochs.
+//! Tests of the `Display` formats of identifiers, and of the order of epochs.
 
 use irisrouter_cluster_types::{Epoch, GatewayId, Generation, HostId};
 
--- a/crates/cluster-types/tests/time.rs
+++ b/crates/cluster-types/tests/time.rs
@@ -1,4 +1,4 @@
-//! Arithmetic on instants and durations.
+//! Tests of the arithmetic on instants and durations.
 
 use irisrouter_cluster_types::{Milliseconds, Timestamp, UnixMilliseconds};
 use std::time::Duration;
