--- a/crates/datagram/src/items.rs
+++ b/crates/datagram/src/items.rs
@@ -7,31 +7,31 @@
 //! then       the items
 //! ```
 //!
-//! Leases, write intents and drains are sent in this format. A protocol says what its header and its items are by
+//! The lease, write-intent and drain protocols use this format. A protocol defines its header and its items by
 //! implementing [`WireValue`] for them.
 
 use crate::{Reader, WireError, MAX_DATAGRAM_BYTES};
 use bytes::BufMut;
 
-/// Bytes of the magic byte and of the count.
+/// Length of the magic byte and the count, in bytes.
 const MAGIC_AND_COUNT_BYTES: usize = 2;
 
-/// A value that is encoded in a fixed number of bytes.
+/// A value whose encoding has a fixed length.
 pub trait WireValue: Sized {
     /// The length of the encoded value, in bytes.
     const ENCODED_BYTES: usize;
 
-    /// Appends the encoded value, [`Self::ENCODED_BYTES`] long.
+    /// Appends the encoded value, which is [`Self::ENCODED_BYTES`] long.
     fn encode(&self, buffer: &mut Vec<u8>);
 
-    /// Reads the value.
+    /// Decodes the value from the next bytes of `reader`.
     ///
     /// # Errors
     /// The datagram ends inside the value, or a field is not valid.
     fn decode(reader: &mut Reader<'_>) -> Result<Self, WireError>;
 }
 
-/// No header.
+/// The empty header.
 impl WireValue for () {
     const ENCODED_BYTES: usize = 0;
 
@@ -57,19 +57,19 @@
 /// The content of a decoded datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ItemList<Header, Item> {
-    /// What stands before the items.
+    /// The header, which precedes the items.
     pub header: Header,
-    /// The items, in the order of the datagram.
+    /// The items in the order in which the datagram has them.
     pub items: Vec<Item>,
 }
 
-/// How many items fit one datagram.
+/// Returns the maximum number of items that fit into one datagram.
 #[must_use]
 pub const fn max_items<Header: WireValue, Item: WireValue>() -> usize {
     (MAX_DATAGRAM_BYTES - MAGIC_AND_COUNT_BYTES - Header::ENCODED_BYTES) / Item::ENCODED_BYTES
 }
 
-/// Encodes a datagram with up to [`max_items`] items; items beyond that are left out.
+/// Encodes a datagram. Items beyond the first [`max_items`] are left out.
 #[must_use]
 pub fn encode_items<Header: WireValue, Item: WireValue>(
     magic: u8,
@@ -81,7 +81,7 @@
     let mut buffer = Vec::with_capacity(MAGIC_AND_COUNT_BYTES + Header::ENCODED_BYTES + item_bytes);
     buffer.put_u8(magic);
     header.encode(&mut buffer);
-    // A datagram of 256 bytes has fewer than 256 items.
+    // The count fits into one byte because a datagram has at most 256 bytes.
     buffer.put_u8(items.len() as u8);
     for item in items {
         item.encode(&mut buffer);
@@ -89,10 +89,10 @@
     buffer
 }
 
-/// Decodes a datagram that [`encode_items`] made.
+/// Decodes a datagram that was encoded by [`encode_items`].
 ///
 /// # Errors
-/// The datagram is of another protocol or version, is not as long as its count announces, or has a field that is not valid.
+/// The datagram is of another protocol or version, has a length that does not match its count, or has an invalid field.
 pub fn decode_items<Header: WireValue, Item: WireValue>(
     magic: u8,
     datagram: &[u8],
--- a/crates/datagram/src/lib.rs
+++ b/crates/datagram/src/lib.rs
@@ -1,11 +1,11 @@
-//! What all datagrams between gateways have in common.
+//! The parts of the wire format that all datagrams between gateways share.
 //!
-//! Several protocols share one UDP socket, the peer socket. This package holds what they need to do so:
+//! Several protocols share one UDP socket, the peer socket. This package provides:
 //!
-//! - the size limit of the platform, [`MAX_DATAGRAM_BYTES`];
-//! - the first byte of each protocol, in [`magic`], by which a received datagram finds its protocol;
-//! - [`Reader`], which reads the fields of an untrusted datagram and never reads past its end;
-//! - [`encode_items`] and [`decode_items`], for datagrams that carry a list of items of one size.
+//! - [`MAX_DATAGRAM_BYTES`], the platform's limit for the length of a datagram;
+//! - [`magic`], the first byte of each protocol, which identifies the protocol of a received datagram;
+//! - [`Reader`], which reads the fields of an untrusted datagram, and returns an error instead of reading past its end;
+//! - [`encode_items`] and [`decode_items`], the codec of datagrams that carry a list of items of one size.
 //!
 //! The package does no I/O.
 
--- a/crates/datagram/src/magic.rs
+++ b/crates/datagram/src/magic.rs
@@ -1,22 +1,23 @@
-//! The first byte of a datagram: the high nibble names the protocol, the low nibble its version.
+//! The first byte of a datagram: the high nibble identifies the protocol, the low nibble its
+//! version.
 
-/// Membership: which gateways are alive.
+/// Membership protocol: tracks which gateways are alive.
 pub const MEMBERSHIP: u8 = 0xA2;
-/// Leases: which gateway holds which task.
+/// Lease protocol: decides which gateway performs which task.
 pub const LEASES: u8 = 0xB1;
-/// Write intents: keyed writes that may have run.
+/// Write-intent protocol: records keyed writes that may have been executed.
 pub const WRITE_INTENTS: u8 = 0xC1;
-/// Site failover: the load reports of the sites, and the plan made from them.
+/// Site-failover protocol: carries the load reports of the gateways, and the plan made from them.
 pub const SITE_FAILOVER: u8 = 0xD2;
-/// Drains of database hosts.
+/// Drain protocol: coordinates drains of database hosts.
 pub const DRAINS: u8 = 0xE1;
-/// Endpoint watch: one gateway watches the list of database hosts for the fleet.
+/// Endpoint-watch protocol: announces the endpoint list that one gateway watches for the fleet.
 pub const ENDPOINT_WATCH: u8 = 0xF1;
 
-/// The bits of the first byte that name the protocol.
+/// Mask of the bits of the first byte that identify the protocol.
 const PROTOCOL_BITS: u8 = 0xf0;
 
-/// Whether a datagram belongs to the protocol of this magic byte, in whatever version.
+/// Returns whether a datagram belongs to the protocol of this magic byte, in any version.
 #[must_use]
 pub fn has_magic(datagram: &[u8], magic: u8) -> bool {
     datagram
--- a/crates/datagram/src/reader.rs
+++ b/crates/datagram/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of a datagram.
+//! Reader of the fields of a datagram.
 
 use crate::{WireError, MAX_DATAGRAM_BYTES};
 use bytes::Buf;
@@ -9,7 +9,7 @@
 pub struct Reader<'a>(&'a [u8]);
 
 impl<'a> Reader<'a> {
-    /// A reader placed behind the first byte of a datagram, which has to be `magic`.
+    /// Creates a reader, and reads the first byte of the datagram, which must be `magic`.
     ///
     /// # Errors
     /// The datagram is empty, too long, or of another protocol or version.
@@ -29,12 +29,12 @@
     /// Reads one byte.
     ///
     /// # Errors
-    /// No byte is left.
+    /// The datagram has no more bytes.
     pub fn u8(&mut self) -> Result<u8, WireError> {
         self.0.try_get_u8().map_err(|_| WireError::Short)
     }
 
-    /// Reads an integer of two bytes.
+    /// Reads a two-byte integer.
     ///
     /// # Errors
     /// Fewer than two bytes are left.
@@ -42,7 +42,7 @@
         self.0.try_get_u16().map_err(|_| WireError::Short)
     }
 
-    /// Reads an integer of four bytes.
+    /// Reads a four-byte integer.
     ///
     /// # Errors
     /// Fewer than four bytes are left.
@@ -50,7 +50,7 @@
         self.0.try_get_u32().map_err(|_| WireError::Short)
     }
 
-    /// Reads an integer of eight bytes.
+    /// Reads an eight-byte integer.
     ///
     /// # Errors
     /// Fewer than eight bytes are left.
@@ -58,11 +58,11 @@
         self.0.try_get_u64().map_err(|_| WireError::Short)
     }
 
-    /// Reads one byte that is an index into `values`, and returns the value at that index. `field` names the field in
-    /// the error.
+    /// Reads one byte as an index into `values`, and returns the value at that index. `field` is the name of the field
+    /// in the error.
     ///
     /// # Errors
-    /// No byte is left, or `values` has no such index.
+    /// The datagram has no more bytes, or the index is out of the range of `values`.
     pub fn one_of<T: Copy>(&mut self, field: &'static str, values: &[T]) -> Result<T, WireError> {
         let index = self.u8()?;
         values
@@ -71,12 +71,14 @@
             .ok_or(WireError::Unknown(field, index))
     }
 
-    /// Reads a count of one byte, then that many items of `item_bytes` bytes each, up to the end of the datagram.
+    /// Reads a one-byte count, then that many items of `item_bytes` bytes each, which must end at the end of the
+    /// datagram.
     ///
-    /// The length is compared with the count before any item is read, so memory is only allocated for bytes that arrived.
+    /// The remaining length is compared with the count before any item is read, so that a forged count cannot cause a
+    /// large allocation.
     ///
     /// # Errors
-    /// The datagram has fewer or more bytes than the count announces, or `read_item` fails.
+    /// The remaining length does not match the count, or `read_item` fails.
     pub fn items<T>(
         mut self,
         item_bytes: usize,
@@ -93,7 +95,7 @@
     /// Checks that the whole datagram has been read.
     ///
     /// # Errors
-    /// Bytes are left.
+    /// The datagram has unread bytes.
     pub fn end(&self) -> Result<(), WireError> {
         if self.0.is_empty() {
             Ok(())
--- a/crates/datagram/tests/datagram.rs
+++ b/crates/datagram/tests/datagram.rs
@@ -1,4 +1,4 @@
-//! Tests of the first bytes, of checked reading, and of the list codec.
+//! Tests of the magic bytes, the bounds checks of the reader, and the list codec.
 
 use bytes::BufMut;
 use irisrouter_datagram::{
@@ -36,7 +36,7 @@
     assert_eq!(read(&[7; 257]), Err(WireError::Long));
 }
 
-/// An item of three bytes: one of two kinds, and a number.
+/// A three-byte item: its kind, `a` or `b`, and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Sample(char, u16);
 
--- a/crates/datagram/tests/golden.rs
+++ b/crates/datagram/tests/golden.rs
@@ -1,9 +1,9 @@
-//! Golden tests of what all datagrams between gateways have in common.
+//! Golden tests of the parts of the wire format that all datagrams between gateways share.
 //!
-//! Pinned are the bound of a datagram, the first bytes by which datagrams on the peer socket are told apart, the byte order
-//! in which fields are read, and the errors with their texts. A fleet is upgraded one gateway at a time, so gateways of the
-//! old and the new version exchange datagrams with each other: a change of the bound or of a first byte would make them
-//! drop what the others send. A refactoring must leave every literal in this file as it is.
+//! They pin the maximum length of a datagram, the first bytes that distinguish the protocols on the peer socket, the
+//! byte order of fields, and the errors with their texts. A fleet is upgraded one gateway at a time, so gateways of the
+//! old and the new version exchange datagrams: after a change of the maximum length or of a first byte, they would drop
+//! each other's datagrams. A refactoring must leave every literal in this file unchanged.
 
 use irisrouter_datagram::{has_magic, magic, Reader, WireError, MAX_DATAGRAM_BYTES};
 
@@ -11,16 +11,16 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: everything that is pinned here is built in this part of the file.
+// Values: this section builds everything that the tests pin.
 
 const MAGIC: u8 = 0x71;
 
-/// The first byte, and a field of each size.
+/// A datagram with the first byte and a field of each size.
 const FIELDS: [u8; 16] = [
     0x71, 0x01, 0x11, 0x12, 0x21, 0x22, 0x23, 0x24, 0x31, 0x32, 0x33, 0x34, 0x35, 0x36, 0x37, 0x38,
 ];
 
-/// The first byte, a count of two, and two items of two bytes.
+/// A datagram with the first byte, a count of two, and two items of two bytes.
 const TWO_ITEMS: [u8; 6] = [0x71, 0x02, 0x41, 0x42, 0x43, 0x44];
 
 fn magic_bytes() -> [u8; 6] {
@@ -47,7 +47,7 @@
 
 // Helpers.
 
-/// The bytes with another value at a place.
+/// Returns the bytes with the byte at index `at` replaced by `value`.
 fn changed(bytes: &[u8], at: usize, value: u8) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     bytes[at] = value;
@@ -108,11 +108,11 @@
     let longest = [&[0x71, 127][..], &[0x55; 254]].concat();
     assert_eq!(items(&longest), Ok(vec![0x5555; 127]));
     assert_eq!(items(&[longest, vec![0]].concat()), Err(WireError::Long));
-    // The length is looked at before the first byte.
+    // The length is checked before the first byte.
     assert_eq!(items(&[0x72; 257]), Err(WireError::Long));
 }
 
-// What is refused.
+// Rejected datagrams.
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
