--- a/crates/gossip/src/health_check_schedule.rs
+++ b/crates/gossip/src/health_check_schedule.rs
@@ -1,45 +1,46 @@
-//! Which gateway starts the next round of health checks of a group, and when.
+//! Schedule that decides which gateway starts the next round of health checks of a group, and when.
 //!
-//! For each group the gateways have a fixed order, by rendezvous hashing. The gateway that ran the
-//! last round runs the next one, a period later. The others stand by: each of them takes over at
-//! its own time, one `STANDBY_INTERVAL` after the gateway before it in the group's order. So
+//! For each group, rendezvous hashing gives the gateways a fixed order. The gateway that ran the
+//! last round runs the next one, a period later. The others are on standby: each of them starts the
+//! round if no other gateway has started it by that gateway's own due time, which is one
+//! `STANDBY_INTERVAL` after that of the preceding gateway in the group's order. Therefore
 //!
 //! - a group is checked once a period, however many gateways there are;
-//! - a gateway that dies is replaced after one interval for each dead gateway that stands before
-//!   the next living one;
-//! - no gateway has to know which others are alive.
+//! - a failed gateway is replaced after one interval for each failed gateway that precedes the
+//!   first live gateway in the order;
+//! - no gateway needs to know which others are alive.
 //!
-//! Where results do not get through, each side runs rounds of its own: loss of messages leads to
-//! more health checks, never to none.
+//! If results are not delivered between two gateways, each runs rounds of its own: message loss
+//! leads to more health checks, never to fewer.
 
 use crate::{Nanoseconds, UnixNanoseconds};
 use irisrouter_cluster_types::GatewayId;
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 
-/// Time between two rounds of a group: short enough that results are younger than the age that
+/// Time between two rounds of a group: short enough that results do not exceed the maximum age that
 /// reads allow.
 const ROUND_PERIOD: Nanoseconds = Nanoseconds::from_millis(200);
-/// Time between two gateways that stand by: long enough for a health check on a new connection and
-/// the way of its result.
+/// Time between the due times of two consecutive standby gateways: long enough for a health check
+/// on a new connection and the delivery of its result.
 const STANDBY_INTERVAL: Nanoseconds = Nanoseconds::from_millis(60);
 
 /// The latest round of health checks of one group.
 struct HealthCheckRound {
-    /// When it started, or a period before the group was first seen.
+    /// When the round started; before the first round, one period before the group was added.
     started_at: UnixNanoseconds,
-    /// The gateway that ran it; none before the first round.
+    /// The gateway that ran the round; `None` before the first round.
     gateway: Option<GatewayId>,
-    /// How many gateways stand before this one in the group's order.
+    /// Number of gateways that precede this one in the group's order.
     local_rank: i64,
 }
 
 impl HealthCheckRound {
-    /// When the next round is due, whoever runs it.
+    /// Returns when the next round is due, regardless of which gateway runs it.
     fn next_due(&self) -> UnixNanoseconds {
         self.started_at + ROUND_PERIOD
     }
 
-    /// When the next round is due at this gateway if no other gateway starts one before.
+    /// Returns when this gateway starts the next round, unless another gateway starts one earlier.
     fn next_due_at(&self, local_gateway: GatewayId) -> UnixNanoseconds {
         let standby_rank = match self.gateway {
             Some(gateway) if gateway == local_gateway => 0,
@@ -50,30 +51,31 @@
     }
 }
 
-/// When the next round of a group is due. Rounds are ordered by time.
+/// The due time of the next round of a group. Ordered by due time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueRound {
     due: UnixNanoseconds,
     group: i64,
 }
 
-/// The schedule of one gateway. Groups are given by their numbers.
+/// The schedule of one gateway. Groups are identified by number.
 ///
-/// The rounds are kept in the order in which they are due: a result of one group takes no walk over
-/// all groups.
+/// The rounds are sorted by due time, so that recording a round and finding the rounds that are due
+/// do not iterate over all groups.
 pub struct HealthCheckSchedule {
     local_gateway: GatewayId,
     gateway_count: u32,
     rounds: BTreeMap<i64, HealthCheckRound>,
-    /// When each group is due, whoever runs its round.
+    /// When the next round of each group is due, regardless of which gateway runs it.
     due: BTreeSet<DueRound>,
-    /// When each group is due at this gateway if no other gateway starts a round before.
+    /// When this gateway starts the next round of each group, unless another gateway starts one
+    /// earlier.
     due_here: BTreeSet<DueRound>,
 }
 
 impl HealthCheckSchedule {
-    /// The schedule of gateway `local_gateway` in a fleet of `gateway_count` gateways, without
-    /// groups.
+    /// Creates the schedule of gateway `local_gateway` in a fleet of `gateway_count` gateways,
+    /// without groups.
     pub fn new(local_gateway: GatewayId, gateway_count: u32) -> Self {
         HealthCheckSchedule {
             local_gateway,
@@ -84,7 +86,8 @@
         }
     }
 
-    /// Replaces the groups. A new group is due at once for the first gateway in its order.
+    /// Replaces the list of groups. The first round of a new group is due immediately at the first
+    /// gateway in the group's order.
     pub fn update_groups(&mut self, now: UnixNanoseconds, groups: &[i64]) {
         let wanted: HashSet<i64> = groups.iter().copied().collect();
         let known = self.rounds.keys().copied();
@@ -127,8 +130,8 @@
         Some(round)
     }
 
-    /// Records that a gateway started a round. A round that is not later than the last one is
-    /// ignored.
+    /// Records that a gateway started a round. A round that did not start after the latest known
+    /// one is ignored.
     pub fn record_round(&mut self, group: i64, gateway: GatewayId, started_at: UnixNanoseconds) {
         let round = self.rounds.get(&group);
         if round.is_none_or(|round| round.started_at >= started_at) {
@@ -144,14 +147,15 @@
         }
     }
 
-    /// Starts the rounds that are due at this gateway, and returns their groups.
+    /// Records that this gateway starts all rounds that are due at it, and returns their groups.
     pub fn start_due_rounds(&mut self, now: UnixNanoseconds) -> Vec<i64> {
         let due = due_by(&self.due_here, now).collect();
         self.start_rounds(now, due)
     }
 
-    /// Starts the rounds that are due of the groups whose lease this gateway holds, and returns
-    /// those groups. Under a lease a round is due each period, whichever gateway ran the last one.
+    /// Records that this gateway starts all due rounds of the groups whose leases it holds, and
+    /// returns those groups. Under a lease a round is due every period, regardless of which gateway
+    /// ran the last one.
     pub fn start_due_leased_rounds(
         &mut self,
         now: UnixNanoseconds,
@@ -162,7 +166,8 @@
         self.start_rounds(now, held)
     }
 
-    /// Starts the rounds of these groups, and returns the groups in ascending order.
+    /// Records that this gateway starts rounds of these groups, and returns the groups in ascending
+    /// order.
     fn start_rounds(&mut self, now: UnixNanoseconds, mut groups: Vec<i64>) -> Vec<i64> {
         groups.sort_unstable();
         for &group in &groups {
@@ -171,12 +176,12 @@
         groups
     }
 
-    /// When this gateway's next round is due, if no other gateway starts one before.
+    /// Returns when this gateway starts its next round, unless another gateway starts one earlier.
     pub fn next_due(&self) -> Option<UnixNanoseconds> {
         self.due_here.first().map(|round| round.due)
     }
 
-    /// When the next round is due of the groups whose lease this gateway holds.
+    /// Returns when the next round is due among the groups whose leases this gateway holds.
     pub fn next_leased_due(&self, holds_lease: impl Fn(i64) -> bool) -> Option<UnixNanoseconds> {
         let mut rounds = self.due.iter();
         let next = rounds.find(|round| holds_lease(round.group));
@@ -184,13 +189,14 @@
     }
 }
 
-/// The groups of the rounds that are due by `now`.
+/// Returns the groups whose rounds are due by `now`.
 fn due_by(rounds: &BTreeSet<DueRound>, now: UnixNanoseconds) -> impl Iterator<Item = i64> + '_ {
     let due = rounds.iter().take_while(move |round| round.due <= now);
     due.map(|round| round.group)
 }
 
-/// How many gateways stand before this one in the order of a group: those of greater weight.
+/// Returns the number of gateways that precede this one in the order of a group, which are those of
+/// greater weight.
 fn rank(group: i64, local_gateway: GatewayId, gateway_count: u32) -> i64 {
     let local_weight = weight(group, local_gateway);
     (0..gateway_count)
@@ -199,8 +205,8 @@
         .count() as i64
 }
 
-/// The weight of a gateway for a group, by the mixing function of splitmix64. It is the same at
-/// every gateway.
+/// Returns the weight of a gateway for a group, computed by the mixing function of splitmix64. The
+/// result is the same at every gateway.
 fn weight(group: i64, gateway: GatewayId) -> u64 {
     let mut hash = (group as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)
         ^ (u64::from(gateway.0) + 1).rotate_left(32);
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -14,49 +14,50 @@
 use irisrouter_cluster_types::HostId;
 use thiserror::Error;
 
-/// The version that is encoded, and the only one that is decoded.
+/// Version of the message format. Messages of other versions are rejected.
 const VERSION: u8 = 1;
 const HEADER_BYTES: usize = 5;
 const RESULT_BYTES: usize = 6;
-/// The longest datagram that the platform delivers between gateways, in bytes.
+/// Length of the longest datagram that the platform delivers between gateways, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 256;
-/// The most results that one message carries.
+/// Maximum number of results in one message.
 pub const MAX_RESULTS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES) / RESULT_BYTES;
-/// Results older than this are not used: a datagram that was delayed must not undo what arrived
-/// since.
+/// Messages with older results are rejected, so that a delayed datagram does not overwrite newer
+/// results.
 const MAX_AGE: Nanoseconds = Nanoseconds::from_millis(5_000);
-/// Clocks of gateways differ by less than this. Results further in the future are not used: they
-/// would take precedence over all that arrives later.
+/// Upper bound of the difference between the clocks of two gateways. Messages with results further
+/// in the future are rejected, because those results would take precedence over all that arrive
+/// later.
 const MAX_CLOCK_SKEW: Nanoseconds = Nanoseconds::from_millis(20);
 const UNKNOWN_LAG: u16 = u16::MAX;
 const UNKNOWN_CORES_IN_USE: u8 = 0x7f;
-/// The greatest number of cores in use that can be encoded, in hundredths.
+/// Largest share of cores in use that can be encoded, in hundredths.
 const MAX_CORES_IN_USE: f64 = 126.0;
 const PRIMARY_BIT: u8 = 0x80;
 
-/// What a host answered to a health check.
+/// The state that one host reported in a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthCheckResult {
-    /// The host, see [`host_id`].
+    /// Id of the host, see [`host_id`].
     pub host: HostId,
-    /// The host has applied all commits up to this time, in whole milliseconds.
+    /// Time up to which the host has applied all commits, in whole milliseconds; `None` if unknown.
     pub position: Option<UnixNanoseconds>,
     /// Whether the host accepts writes.
     pub primary: bool,
-    /// The share of its cores in use, 0 to 1.26.
+    /// Share of the host's cores in use, 0 to 1.26; `None` if unknown.
     pub cores_in_use: Option<f64>,
 }
 
-/// The results of checks that were made together.
+/// The results of health checks that were made together.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
-    /// When the checks were made, in whole milliseconds.
+    /// Time of the checks, in whole milliseconds.
     pub checked_at: UnixNanoseconds,
-    /// The result of each host.
+    /// The results, one for each host.
     pub results: Vec<HealthCheckResult>,
 }
 
-/// Why a datagram is not decoded.
+/// Error returned if a datagram cannot be decoded or its results are not current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The datagram has no results, ends inside one, or is longer than any message.
@@ -68,13 +69,13 @@
     /// The checks were made too long ago.
     #[error("its health checks are too old")]
     Old,
-    /// The checks were made in the future, by this gateway's clock.
+    /// The checks were made in the future according to this gateway's clock.
     #[error("its health checks are in the future")]
     Future,
 }
 
-/// The id by which gateways refer to a host: a hash of its name (FNV-1a, folded to 24 bits), the
-/// same at every gateway.
+/// Returns the id of a host, which is the same at every gateway: the FNV-1a hash of its name,
+/// folded to 24 bits.
 pub fn host_id(name: &str) -> HostId {
     let hash = name.bytes().fold(0x811c_9dc5_u32, |hash, byte| {
         (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193)
@@ -99,8 +100,8 @@
     datagram
 }
 
-/// How far a position is behind the time of the checks, in milliseconds. The position is rounded
-/// down: rounded up, it would claim commits that the host has not applied.
+/// Encodes how far a position is behind the time of the checks, in milliseconds. The position is
+/// rounded down, because a position rounded up would include commits that the host has not applied.
 fn encode_lag(position: Option<UnixNanoseconds>, checked_at_ms: i64) -> u16 {
     position.map_or(UNKNOWN_LAG, |position| {
         let lag_ms = checked_at_ms - position.as_millis();
@@ -108,7 +109,8 @@
     })
 }
 
-/// The share of cores in use in hundredths. A value that is not finite is encoded as unknown.
+/// Encodes the share of cores in use in hundredths. A value that is not finite is encoded as
+/// unknown.
 fn encode_cores_in_use(cores_in_use: Option<f64>) -> u8 {
     cores_in_use
         .filter(|share| share.is_finite())
@@ -117,11 +119,12 @@
         })
 }
 
-/// Decodes a datagram. `now` is the time of the receiver.
+/// Decodes a datagram. `now` is the current time at the receiver.
 ///
 /// # Errors
 ///
-/// [`encode`] does not produce such a datagram, or its checks are too old or in the future.
+/// The datagram has an invalid length or another version, or its checks are too old or in the
+/// future.
 pub fn decode(datagram: &[u8], now: UnixNanoseconds) -> Result<Message, DecodeError> {
     let results_bytes = datagram.len().saturating_sub(HEADER_BYTES);
     if results_bytes == 0
@@ -152,7 +155,7 @@
     })
 }
 
-/// The time nearest to `now_ms` that has these lower 32 bits.
+/// Returns the time nearest to `now_ms` whose lower 32 bits are `time_bits`.
 fn nearest_time_ms(now_ms: i64, time_bits: u32) -> i64 {
     now_ms - i64::from((now_ms as u32).wrapping_sub(time_bits) as i32)
 }
--- a/crates/gossip/src/time.rs
+++ b/crates/gossip/src/time.rs
@@ -1,19 +1,19 @@
-//! Instants and lengths of time in nanoseconds, as the gateway's clock gives them.
+//! Instants and durations in nanoseconds, the unit of the gateway's clock.
 
 use std::ops::{Add, Mul, Sub};
 
-/// A length of time in nanoseconds.
+/// A duration in nanoseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Nanoseconds(pub i64);
 
-/// An instant of Unix time, in nanoseconds since the epoch.
+/// An instant of wall-clock time, in nanoseconds since the Unix epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct UnixNanoseconds(pub i64);
 
 const NANOS_PER_MS: i64 = 1_000_000;
 
 impl Nanoseconds {
-    /// This many milliseconds.
+    /// Creates a duration of this many milliseconds.
     #[must_use]
     pub const fn from_millis(milliseconds: i64) -> Self {
         Self(milliseconds * NANOS_PER_MS)
@@ -21,13 +21,13 @@
 }
 
 impl UnixNanoseconds {
-    /// This many milliseconds after the epoch.
+    /// Creates the instant this many milliseconds after the Unix epoch.
     #[must_use]
     pub const fn from_millis(milliseconds: i64) -> Self {
         Self(milliseconds * NANOS_PER_MS)
     }
 
-    /// Whole milliseconds since the epoch, rounded down.
+    /// Returns the number of whole milliseconds since the Unix epoch, rounded down.
     #[must_use]
     pub const fn as_millis(self) -> i64 {
         self.0.div_euclid(NANOS_PER_MS)
@@ -37,16 +37,16 @@
 impl Add<Nanoseconds> for UnixNanoseconds {
     type Output = Self;
 
-    fn add(self, length: Nanoseconds) -> Self {
-        Self(self.0 + length.0)
+    fn add(self, duration: Nanoseconds) -> Self {
+        Self(self.0 + duration.0)
     }
 }
 
 impl Sub<Nanoseconds> for UnixNanoseconds {
     type Output = Self;
 
-    fn sub(self, length: Nanoseconds) -> Self {
-        Self(self.0 - length.0)
+    fn sub(self, duration: Nanoseconds) -> Self {
+        Self(self.0 - duration.0)
     }
 }
 
@@ -61,7 +61,7 @@
 impl Mul<Nanoseconds> for i64 {
     type Output = Nanoseconds;
 
-    fn mul(self, length: Nanoseconds) -> Nanoseconds {
-        Nanoseconds(self * length.0)
+    fn mul(self, duration: Nanoseconds) -> Nanoseconds {
+        Nanoseconds(self * duration.0)
     }
 }
--- a/crates/gossip/tests/golden.rs
+++ b/crates/gossip/tests/golden.rs
@@ -1,15 +1,14 @@
 //! Golden tests of the health-check results that gateways share.
 //!
-//! Pinned are the exact bytes of the message of results, what the decoder returns for these bytes
-//! and of malformed ones, the ids of hosts, and the order of gateways for a group with the times at
-//! which their rounds are due. A fleet is upgraded one gateway at a time, so gateways of the old
-//! and the new version exchange these datagrams with each other: a change of a single byte or
-//! number would make them misread each other or check the same group twice. A refactoring must
-//! leave every literal in this file as it is; an intended change of the format needs a new version
-//! byte.
+//! They pin the exact bytes of the message, the decoder's results for these bytes and for malformed
+//! ones, the ids of hosts, the order of gateways for a group, and the times at which their rounds
+//! are due. A fleet is upgraded one gateway at a time, so gateways of the old and the new version
+//! exchange these datagrams: after a change of a single byte or number they would misread each
+//! other's results or check the same group twice. A refactoring must leave every literal in this
+//! file unchanged; an intended change of the format needs a new version byte.
 //!
-//! Literals are groups of hex digits, one group for each field of the layout; white space between
-//! them is ignored.
+//! A literal consists of groups of hex digits, one group for each field of the layout; the white
+//! space between them is ignored.
 
 use irisrouter_cluster_types::{GatewayId, HostId};
 use irisrouter_gossip::health_check_schedule::HealthCheckSchedule;
@@ -22,16 +21,17 @@
 const MS: Nanoseconds = Nanoseconds(1_000_000);
 const NANOSECOND: Nanoseconds = Nanoseconds(1);
 const EPOCH: UnixNanoseconds = UnixNanoseconds(0);
-/// The lower 32 bits of these milliseconds are 0x32e2_9314.
+/// As Unix milliseconds, this time has the lower 32 bits 0x32e2_9314.
 const NOW: UnixNanoseconds = UnixNanoseconds(1_796_150_039_316 * 1_000_000);
-/// The lower 32 bits of these milliseconds are 0: the time on the wire has just wrapped around.
+/// As Unix milliseconds, this time has the lower 32 bits 0: the time field of a message has just
+/// wrapped around.
 const WRAP: UnixNanoseconds = UnixNanoseconds((418 << 32) * 1_000_000);
 
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: all messages and results that are pinned here are built in this part of the file.
+// Values: this section builds all messages and results that the tests pin.
 
 fn message(checked_at: UnixNanoseconds, results: Vec<HealthCheckResult>) -> Message {
     Message {
@@ -40,7 +40,8 @@
     }
 }
 
-/// A primary that is 1,929 ms (0x0789) behind and uses 37 (0x25) hundredths of its cores.
+/// A primary whose position is 1,929 ms (0x0789) behind and that uses 37 (0x25) hundredths of its
+/// cores.
 fn primary() -> HealthCheckResult {
     HealthCheckResult {
         host: HostId(0x12_3456),
@@ -50,7 +51,7 @@
     }
 }
 
-/// A replica that is 31 ms (0x1f) behind and uses 99 (0x63) hundredths.
+/// A replica whose position is 31 ms (0x1f) behind and that uses 99 (0x63) hundredths of its cores.
 fn replica() -> HealthCheckResult {
     HealthCheckResult {
         host: HostId(0xfe_dcba),
@@ -73,7 +74,7 @@
     }
 }
 
-/// A replica with this position and this share of its cores in use.
+/// A replica with known values.
 fn with(position: UnixNanoseconds, cores_in_use: f64) -> HealthCheckResult {
     HealthCheckResult {
         host: HostId(0x01_0203),
@@ -83,7 +84,7 @@
     }
 }
 
-/// The same with values that may be unknown.
+/// The same replica with values that may be unknown.
 fn without(position: Option<UnixNanoseconds>, cores_in_use: Option<f64>) -> HealthCheckResult {
     HealthCheckResult {
         host: HostId(0x01_0203),
@@ -93,7 +94,8 @@
     }
 }
 
-/// Results that differ in every field; every second one is a primary.
+/// Returns `count` results with different host ids, positions and shares of cores in use; every
+/// second one is of a primary.
 fn many(count: u32) -> Vec<HealthCheckResult> {
     let one = |i: u32| HealthCheckResult {
         host: HostId(0x0a_00ff + i * 0xff),
@@ -104,7 +106,8 @@
     (0..count).map(one).collect()
 }
 
-/// The gateways of a fleet in the order in which they check a group that has not been checked yet.
+/// Returns the gateways of a fleet in the order in which they are due to check a group that has not
+/// been checked yet.
 fn order(group: i64, gateways: u32) -> Vec<u32> {
     let due = |me: u32| first_round(group, me, gateways);
     let mut all: Vec<u32> = (0..gateways).collect();
@@ -112,15 +115,16 @@
     all
 }
 
-/// When this gateway checks the group if no other does, for a group that appears at time 0.
+/// Returns when `gateway` checks the group if no other gateway does, for a group that is added at
+/// time 0.
 fn first_round(group: i64, me: u32, gateways: u32) -> Option<Nanoseconds> {
     let mut schedule = HealthCheckSchedule::new(GatewayId(me), gateways);
     schedule.update_groups(EPOCH, &[group]);
     schedule.next_due().map(|due| due - EPOCH)
 }
 
-/// When this gateway checks the group next, in a fleet of three, after `last` has checked it at
-/// time 0.
+/// Returns when `gateway` checks the group next, in a fleet of three, after `last` has checked it
+/// at time 0.
 fn next_round(group: i64, me: u32, last: u32) -> Option<Nanoseconds> {
     let mut schedule = HealthCheckSchedule::new(GatewayId(me), 3);
     schedule.update_groups(EPOCH - 1_000 * MS, &[group]);
@@ -134,7 +138,8 @@
     expected.split_whitespace().collect()
 }
 
-/// The message has these bytes, and is decoded as `read` at its own time.
+/// Asserts that the message is encoded as the bytes `expected`, and that these decode to `decoded`
+/// at the time of the checks.
 #[track_caller]
 fn pins(message: &Message, expected: &str, read: &Message) {
     let bytes = encode(message);
@@ -142,7 +147,7 @@
     assert_eq!(decode(&bytes, message.checked_at).as_ref(), Ok(read));
 }
 
-// The bytes.
+// Encoded bytes.
 
 #[test]
 fn bounds_keep_their_values() {
@@ -271,7 +276,7 @@
     );
 }
 
-// What is refused. The text of the error is for the log only.
+// Rejected datagrams. The texts of these errors are not pinned, because they are only logged.
 
 #[test]
 fn empty_datagram_is_refused_for_its_length() {
@@ -296,7 +301,7 @@
             "{first:#04x}"
         );
     }
-    // The length is looked at first.
+    // The length is checked before the version.
     assert_eq!(decode(&[0x02], NOW), Err(DecodeError::Length));
     assert_eq!(decode(&[0x02; 257], NOW), Err(DecodeError::Length));
 }
@@ -313,7 +318,8 @@
     }
 }
 
-/// The format has no count of results, so this can't be distinguished from a shorter message.
+/// The format has no count of results, so the truncated datagram cannot be distinguished from a
+/// shorter message.
 #[test]
 fn datagram_cut_between_two_results_is_decoded_as_the_results_before_the_cut() {
     assert_eq!(
@@ -359,7 +365,7 @@
     );
 }
 
-// Values on which all gateways agree.
+// Values that are the same at all gateways.
 
 #[test]
 fn ids_of_hosts_keep_their_values() {
@@ -405,7 +411,8 @@
 
 #[test]
 fn last_gateway_checks_a_group_again_after_200_ms_and_the_others_60_ms_after_one_another() {
-    // In the order [1, 0, 2].
+    // The next due times follow the order [1, 0, 2], except that the gateway that ran the last
+    // round comes first.
     assert_eq!(order(42, 3), [1, 0, 2]);
     assert_eq!(next_round(42, 2, 2), Some(200 * MS));
     assert_eq!(next_round(42, 1, 2), Some(260 * MS));
--- a/crates/gossip/tests/health_check_schedule.rs
+++ b/crates/gossip/tests/health_check_schedule.rs
@@ -1,4 +1,4 @@
-//! Fleets of schedules in virtual time, with gateways that die and results that are lost.
+//! Runs the schedules of whole fleets in virtual time, with failing gateways and lost results.
 
 use irisrouter_cluster_types::GatewayId;
 use irisrouter_gossip::health_check_schedule::HealthCheckSchedule;
@@ -8,10 +8,10 @@
 const MS: Nanoseconds = Nanoseconds(1_000_000);
 const EPOCH: UnixNanoseconds = UnixNanoseconds(0);
 const GROUPS: [i64; 12] = [0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11];
-/// How long a result takes to reach the other gateways.
+/// Delivery time of a result to the other gateways, in milliseconds.
 const DELAY_MS: i64 = 30;
 
-/// The notice of a round, on its way to the other gateways.
+/// The notice that a gateway started a round, in flight to the other gateways.
 struct RoundNotice {
     arrives_at: UnixNanoseconds,
     group: i64,
@@ -19,8 +19,9 @@
     started_at: UnixNanoseconds,
 }
 
-/// Runs a fleet in steps of a millisecond. Returns for each group when its rounds started, in
-/// milliseconds.
+/// Runs a fleet in steps of one millisecond. `is_alive` takes a gateway and the time in
+/// milliseconds; `reaches` takes the sender and the receiver of a notice. Returns the start times
+/// of the rounds of each group, in milliseconds.
 fn run_fleet(
     gateway_count: u32,
     duration_ms: i64,
@@ -60,7 +61,8 @@
     round_starts
 }
 
-/// The longest time between two rounds, from the first round at or after `from`.
+/// Returns the longest time between two consecutive rounds, starting with the first round at or
+/// after `from`.
 fn longest_gap(round_starts: &[i64], from: i64) -> i64 {
     round_starts
         .windows(2)
@@ -87,7 +89,7 @@
     }
 }
 
-/// No group may stay unchecked after most of the gateways were killed at once.
+/// The groups must be checked again after most gateways are killed at the same time.
 #[test]
 fn groups_are_taken_over_when_nine_in_ten_gateways_die() {
     let is_alive = |gateway, now_ms| now_ms < 2_000 || gateway % 10 == 3;
@@ -105,7 +107,7 @@
     }
 }
 
-/// A gateway must not rely on others whose results do not reach it.
+/// A gateway must not rely on other gateways whose results do not reach it.
 #[test]
 fn gateways_run_their_own_rounds_when_no_results_arrive() {
     let round_starts = run_fleet(2, 4_000, |_, _| true, |_, _| false);
@@ -117,7 +119,7 @@
     );
 }
 
-/// A late datagram must not move the next round.
+/// A delayed datagram must not change when the next round is due.
 #[test]
 fn schedule_ignores_a_round_that_started_before_the_latest() {
     let mut schedule = HealthCheckSchedule::new(GatewayId(0), 2);
@@ -129,7 +131,8 @@
     assert_eq!(schedule.next_due(), next_due);
 }
 
-/// Guards the order in which rounds are kept: it has to say what a look at every group says.
+/// The sorted due times must give the same next round as a search over the schedules of all single
+/// groups.
 #[test]
 fn next_round_is_that_of_the_group_which_is_due_first() {
     let mut schedule = HealthCheckSchedule::new(GatewayId(0), 3);
--- a/crates/gossip/tests/message.rs
+++ b/crates/gossip/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages encoded and decoded again, and bytes that are no message.
+//! Tests that messages survive encoding and decoding, and that invalid datagrams are rejected.
 
 use irisrouter_cluster_types::HostId;
 use irisrouter_gossip::message::{
--- a/tests/unit/service_clock.rs
+++ b/tests/unit/service_clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the cluster services.
+//! Tests of the clock of the cluster services.
 
 use super::{ServiceClock, MAX_SLEEP};
 use irisrouter_cluster_types::{Milliseconds, Timestamp};
