--- a/src/net/cluster/drains.rs
+++ b/src/net/cluster/drains.rs
@@ -61,7 +61,7 @@
     },
     /// Without this host its group would have no host in service.
     #[error("{host_name} is the last host of its set in service")]
-    LastHostOfSet {
+    LastHostInGroup {
         /// Name of the host as the operator gave it.
         host_name: String,
     },
@@ -97,7 +97,7 @@
 pub struct DrainService {
     coordinator: RefCell<DrainCoordinator>,
     membership: Rc<MembershipService>,
-    local: LocalGateway,
+    local_state: LocalGateway,
     clock: ServiceClock,
     outbox: Outbox,
     metrics: Rc<Metrics>,
@@ -122,7 +122,7 @@
         Self {
             coordinator: RefCell::new(coordinator),
             membership,
-            local: LocalGateway { leases, upstream },
+            local_state: LocalGateway { leases, upstream },
             clock: ServiceClock::start(),
             outbox: Outbox::new(gateways),
             metrics,
@@ -139,20 +139,21 @@
     /// Processes a datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
         let mut coordinator = self.coordinator.borrow_mut();
-        coordinator.update_fleet(self.membership.not_down_processes());
-        if let Err(error) = coordinator.receive(self.clock.now(), from, datagram, &self.local) {
+        coordinator.update_fleet(self.membership.alive_or_suspect_processes());
+        if let Err(error) = coordinator.receive(self.clock.now(), from, datagram, &self.local_state)
+        {
             increment(&self.metrics.gossip.ignored);
             log!("drains: a datagram from gateway {from} is ignored: {error}");
         }
-        self.carry_out(&mut coordinator)
+        self.carry_out_actions(&mut coordinator)
     }
 
     /// Does the work that is due. Returns the datagrams to send.
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
         let mut coordinator = self.coordinator.borrow_mut();
-        coordinator.update_fleet(self.membership.not_down_processes());
-        coordinator.advance(self.clock.now(), &self.local);
-        self.carry_out(&mut coordinator)
+        coordinator.update_fleet(self.membership.alive_or_suspect_processes());
+        coordinator.advance(self.clock.now(), &self.local_state);
+        self.carry_out_actions(&mut coordinator)
     }
 
     /// Returns the time until [`DrainService::advance`] has work due.
@@ -178,7 +179,7 @@
         host_name: &str,
         desired_state: DesiredState,
     ) -> Result<CommandReplication, DrainCommandError> {
-        let host = self.host_to_command(host_name, desired_state)?;
+        let host = self.resolve_host(host_name, desired_state)?;
         let replicated = self.issue(host, desired_state)?;
         let progress = replicated
             .await
@@ -215,12 +216,12 @@
     }
 
     /// Returns the host that an operator named, if the command is allowed for it.
-    fn host_to_command(
+    fn resolve_host(
         &self,
         host_name: &str,
         desired_state: DesiredState,
     ) -> Result<HostId, DrainCommandError> {
-        let upstream = &self.local.upstream;
+        let upstream = &self.local_state.upstream;
         let host = upstream
             .member_by_name(host_name)
             .and_then(|member| upstream.fleet_host_id(member))
@@ -228,7 +229,7 @@
                 host_name: host_name.to_string(),
             })?;
         if desired_state == DesiredState::Drained && !upstream.can_spare(host) {
-            return Err(DrainCommandError::LastHostOfSet {
+            return Err(DrainCommandError::LastHostInGroup {
                 host_name: host_name.to_string(),
             });
         }
@@ -251,7 +252,7 @@
 
     fn drain_status(&self, status: CommandStatus) -> String {
         let CommandStatus { command, progress } = status;
-        let name = self.local.upstream.host_name(command.host);
+        let name = self.local_state.upstream.host_name(command.host);
         match progress {
             Progress::Completed(_) if !command.drains() => format!("{name}:back"),
             Progress::Completed(Completion { unacknowledged, .. }) => {
@@ -265,47 +266,47 @@
         }
     }
 
-    fn carry_out(&self, coordinator: &mut DrainCoordinator) -> Vec<OutgoingDatagram> {
+    fn carry_out_actions(&self, coordinator: &mut DrainCoordinator) -> Vec<OutgoingDatagram> {
         for action in coordinator.take_actions() {
             match action {
                 Action::Send { to, bytes } => self.outbox.push(to, bytes),
                 Action::Follow(command) => self.follow(command),
-                Action::Replicated { host, progress } => self.answer_operator(host, progress),
+                Action::Replicated { host, progress } => self.send_progress(host, progress),
                 Action::Completed {
                     command,
                     completion,
                     origin,
-                } => self.report_completion(command, completion, origin),
+                } => self.record_completion(command, completion, origin),
             }
         }
         self.outbox.take()
     }
 
     fn follow(&self, command: DrainCommand) {
-        let name = self.local.upstream.host_name(command.host);
+        let name = self.local_state.upstream.host_name(command.host);
         let change = match command.desired_state {
             DesiredState::Drained => "taken out of",
             DesiredState::InService => "put back into",
         };
         let issuer = command.issued_by;
         log!("drains: {name} is {change} service by the command of gateway {issuer}");
-        self.local.upstream.apply_drain_command(command);
+        self.local_state.upstream.apply_drain_command(command);
     }
 
-    fn answer_operator(&self, host: HostId, progress: ReplicationProgress) {
-        if let Some(operator) = self.waiting_operators.borrow_mut().remove(&host) {
+    fn send_progress(&self, host: HostId, progress: ReplicationProgress) {
+        if let Some(sender) = self.waiting_operators.borrow_mut().remove(&host) {
             // The send fails if the operator has closed the connection, which needs no handling.
-            let _ = operator.send(progress);
+            let _ = sender.send(progress);
         }
     }
 
-    fn report_completion(
+    fn record_completion(
         &self,
         command: DrainCommand,
         completion: Completion,
         origin: CompletionOrigin,
     ) {
-        let name = self.local.upstream.host_name(command.host);
+        let name = self.local_state.upstream.host_name(command.host);
         let result = match command.desired_state {
             DesiredState::Drained => "is drained, no gateway has requests in flight there",
             DesiredState::InService => "is back in service at all gateways",
--- a/src/net/cluster/endpoint_watch.rs
+++ b/src/net/cluster/endpoint_watch.rs
@@ -90,16 +90,16 @@
     /// Returns the state of this gateway that the watcher's decisions depend on.
     fn local_state(&self, revision: Option<Revision>, needs_full_list: bool) -> LocalState {
         let local_gateway = self.membership.local_gateway();
-        let lower_numbers = self
+        let gateways_before = self
             .membership
-            .not_down()
+            .alive_or_suspect_gateways()
             .into_iter()
             .filter(|&gateway| gateway < local_gateway);
         LocalState {
             fencing_token: self.fencing_token(),
             revision,
             needs_full_list,
-            rank: lower_numbers.count() as u64,
+            rank: gateways_before.count() as u64,
         }
     }
 
@@ -113,12 +113,12 @@
                 return;
             }
         };
-        let counts = self.watcher.borrow_mut().receive_heartbeat(
+        let is_accepted = self.watcher.borrow_mut().receive_heartbeat(
             self.clock.now(),
             heartbeat.epoch,
             heartbeat.revision,
         );
-        if counts {
+        if is_accepted {
             self.upstream
                 .apply_watch_heartbeat(heartbeat.revision, heartbeat.hosts_out_of_service);
             self.heartbeat_received.notify_one();
@@ -141,8 +141,8 @@
     pub fn due(&self) -> Duration {
         let now = self.clock.now();
         let holds_lease = self.fencing_token().is_some();
-        let next = self.watcher.borrow().next_heartbeat_at(now, holds_lease);
-        ServiceClock::time_until(now, next)
+        let next_heartbeat_at = self.watcher.borrow().next_heartbeat_at(now, holds_lease);
+        ServiceClock::time_until(now, next_heartbeat_at)
     }
 
     /// Waits until a poll of the list has ended, because a heartbeat may be due then.
@@ -159,15 +159,15 @@
     /// Waits until this gateway is to poll the list, and returns how it polls.
     pub async fn wait_for_poll(&self, position: &ListPosition) -> PollKind {
         loop {
-            let pause = match self.decide_poll(position) {
+            let delay = match self.decide_poll(position) {
                 PollDecision::Watch => return self.start_watch(),
                 PollDecision::Fetch => return self.start_fetch(),
-                PollDecision::Wait(pause) => Duration::from(pause),
+                PollDecision::Wait(delay) => Duration::from(delay),
             };
             self.log_role(Role::Waiting);
-            let pause = pause.min(DECISION_INTERVAL);
+            let delay = delay.min(DECISION_INTERVAL);
             // Whether a heartbeat arrived or the timeout expired, the gateway decides again.
-            let _ = timeout(pause, self.heartbeat_received.notified()).await;
+            let _ = timeout(delay, self.heartbeat_received.notified()).await;
         }
     }
 
--- a/src/net/cluster/leases.rs
+++ b/src/net/cluster/leases.rs
@@ -1,7 +1,7 @@
 //! The lease service: passes datagrams, the current time and the membership view to the lease manager of
 //! `irisrouter_leases`, and carries out the manager's actions.
 //!
-//! Each lease that this gateway acquires or loses writes one log line and increments a counter.
+//! Each acquisition or loss of a lease is logged in one line and counted.
 
 use crate::net::cluster::membership::MembershipService;
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
@@ -44,7 +44,7 @@
     /// group.
     const fn id(self) -> TaskId {
         match self {
-            Self::HealthChecks(GroupId(set)) => TaskId(set as u64),
+            Self::HealthChecks(GroupId(group)) => TaskId(group as u64),
             Self::HostDrain(host) => irisrouter_drain_coordination::task_id(host),
             Self::EndpointWatch => irisrouter_endpoint_watch::TASK_ID,
             Self::SiteFailover => irisrouter_site_failover::TASK_ID,
@@ -71,7 +71,7 @@
 impl fmt::Display for LeasedTask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::HealthChecks(GroupId(set)) => write!(f, "the health checks of set {set}"),
+            Self::HealthChecks(GroupId(group)) => write!(f, "the health checks of set {group}"),
             Self::HostDrain(host) => write!(f, "the drain of host {host}"),
             Self::EndpointWatch => write!(f, "the endpoint watch"),
             Self::SiteFailover => write!(f, "the site failover plan"),
@@ -83,11 +83,11 @@
 pub struct LeaseService {
     manager: RefCell<LeaseManager>,
     membership: Rc<MembershipService>,
-    start: Instant,
+    origin: Instant,
     outbox: Outbox,
     metrics: Rc<Metrics>,
     /// Whether health checks carry the fencing token to the database hosts.
-    fence: bool,
+    fencing_enabled: bool,
 }
 
 impl LeaseService {
@@ -101,7 +101,7 @@
         membership: Rc<MembershipService>,
         gateways: Vec<SocketAddr>,
         lease_ms: u64,
-        fence: bool,
+        fencing_enabled: bool,
         metrics: Rc<Metrics>,
     ) -> Result<Self, SettingsError> {
         let settings = Settings {
@@ -113,15 +113,15 @@
         Ok(Self {
             manager: RefCell::new(manager),
             membership,
-            start: Instant::now(),
+            origin: Instant::now(),
             outbox: Outbox::new(gateways),
             metrics,
-            fence,
+            fencing_enabled,
         })
     }
 
     fn now(&self) -> Timestamp {
-        let elapsed = self.start.elapsed().as_millis();
+        let elapsed = self.origin.elapsed().as_millis();
         Timestamp::from_millis(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
@@ -168,7 +168,7 @@
         let now = self.now();
         let due = self.manager.borrow().next_due();
         let latest = now + MAX_ADVANCE_INTERVAL;
-        self.start + Duration::from(due.max(now).min(latest).since_origin())
+        self.origin + Duration::from(due.max(now).min(latest).since_origin())
     }
 
     /// Returns whether this gateway was in the majority partition at the last call of [`LeaseService::advance`].
@@ -185,7 +185,7 @@
     /// Returns the fence that a health check of a group carries, or `None` if fencing is off.
     pub fn health_check_fence(&self, group: GroupId, epoch: Epoch) -> Option<Fence> {
         let task = LeasedTask::HealthChecks(group).id();
-        self.fence.then_some(Fence { task, epoch })
+        self.fencing_enabled.then_some(Fence { task, epoch })
     }
 
     /// Records that a database host rejected the fencing token of a group's health check, so that the lease is no
@@ -208,7 +208,7 @@
     /// `drain-host:epoch`, `list:epoch` or `plan:epoch`.
     pub fn status_line(&self) -> String {
         let held = self.manager.borrow().held_leases(self.now());
-        let tasks: Vec<String> = held.iter().map(console_entry).collect();
+        let tasks: Vec<String> = held.iter().map(format_held_lease).collect();
         format!("duties owned={} {}", tasks.len(), tasks.join(" "))
     }
 
@@ -222,7 +222,7 @@
                     change,
                 } => {
                     increment(&self.metrics.leases.acquired);
-                    let (task, reason) = (LeasedTask::from_id(task), reason(change));
+                    let (task, reason) = (LeasedTask::from_id(task), change_reason(change));
                     log!("leases: this gateway holds the lease on {task} under epoch {epoch} ({reason})");
                 }
                 Action::Lost {
@@ -231,7 +231,7 @@
                     change,
                 } => {
                     increment(&self.metrics.leases.lost);
-                    let (task, reason) = (LeasedTask::from_id(task), reason(change));
+                    let (task, reason) = (LeasedTask::from_id(task), change_reason(change));
                     log!("leases: this gateway no longer holds the lease on {task} under epoch {epoch} ({reason})");
                 }
             }
@@ -241,10 +241,10 @@
 }
 
 /// Formats one held lease for the console.
-fn console_entry(held: &HeldLease) -> String {
+fn format_held_lease(held: &HeldLease) -> String {
     let epoch = held.epoch;
     match LeasedTask::from_id(held.task) {
-        LeasedTask::HealthChecks(GroupId(set)) => format!("{set}:{epoch}"),
+        LeasedTask::HealthChecks(GroupId(group)) => format!("{group}:{epoch}"),
         LeasedTask::HostDrain(host) => format!("drain-{host}:{epoch}"),
         LeasedTask::EndpointWatch => format!("list:{epoch}"),
         LeasedTask::SiteFailover => format!("plan:{epoch}"),
@@ -252,7 +252,7 @@
 }
 
 /// Describes for the log why a lease was acquired or lost.
-fn reason(change: LeaseChange) -> String {
+fn change_reason(change: LeaseChange) -> String {
     match change {
         LeaseChange::Vacant => "it was vacant".into(),
         LeaseChange::TakenOver(previous) => format!(
--- a/src/net/cluster/membership.rs
+++ b/src/net/cluster/membership.rs
@@ -3,8 +3,8 @@
 //! across an await.
 //!
 //! The peer socket is shared with other protocols and passes on only the datagrams whose first byte is that of
-//! membership. Each change of the view writes one log line and increments a counter; the console command `members` and
-//! SIGUSR1 print the whole view. Health-check results from a gateway that is down in the view are not used.
+//! membership. Each change of the view is logged in one line and counted; the console command `members` and SIGUSR1
+//! print the whole view. Health-check results from a gateway that is down in the view are not used.
 
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
 use crate::net::cluster::service_clock::ServiceClock;
@@ -53,13 +53,13 @@
     pub fn new(
         peers: &Peers,
         settings: Settings,
-        unix_s: u64,
+        start_unix_s: u64,
         seed: u64,
         metrics: Rc<Metrics>,
     ) -> Result<Self, MembershipError> {
         let local = GatewayProcess {
             gateway: peers.local_gateway,
-            generation: Generation((unix_s & 0xffff) as u16),
+            generation: Generation((start_unix_s & 0xffff) as u16),
         };
         let mut core = Membership::new(local, settings, seed, Timestamp::ZERO)?;
         let fleet_size = peers.gateway_addresses.len() as u32;
@@ -143,13 +143,13 @@
     }
 
     /// Returns the gateways that are alive or suspect, including this gateway.
-    pub fn not_down(&self) -> Vec<GatewayId> {
-        let processes = self.not_down_processes().into_iter();
+    pub fn alive_or_suspect_gateways(&self) -> Vec<GatewayId> {
+        let processes = self.alive_or_suspect_processes().into_iter();
         processes.map(|process| process.gateway).collect()
     }
 
     /// Returns the processes of the gateways that are alive or suspect, including this process.
-    pub fn not_down_processes(&self) -> Vec<GatewayProcess> {
+    pub fn alive_or_suspect_processes(&self) -> Vec<GatewayProcess> {
         let core = self.core.borrow();
         let members = core.view().members();
         members
--- a/src/net/cluster/outbox.rs
+++ b/src/net/cluster/outbox.rs
@@ -43,7 +43,7 @@
         self.queued.take()
     }
 
-    /// Whether no datagram is queued.
+    /// Returns whether no datagram is queued.
     pub fn is_empty(&self) -> bool {
         self.queued.borrow().is_empty()
     }
--- a/src/net/cluster/peer_socket.rs
+++ b/src/net/cluster/peer_socket.rs
@@ -26,18 +26,18 @@
 
 /// Longest time between two calls of [`PeerSocket::advance_services`], even if no service has work
 /// due earlier.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
+const MAX_ADVANCE_INTERVAL: Duration = Duration::from_millis(500);
 /// Time between two receive batches. During this time the datagrams of a burst collect in the
 /// socket's buffer, so that one batch receives them together. It is short compared with the age at
 /// which health-check results become useless.
 const RECEIVE_INTERVAL: Duration = Duration::from_millis(10);
 /// Maximum number of datagrams received in one batch. Client requests are served between two
 /// batches.
-const MAX_DATAGRAMS_PER_TURN: usize = 64;
+const MAX_DATAGRAMS_PER_BATCH: usize = 64;
 /// One byte more than the longest valid datagram, so that a longer datagram is rejected as too long
 /// instead of being truncated to a valid length.
 const RECEIVE_BUFFER_BYTES: usize = message::MAX_DATAGRAM_BYTES + 1;
-const UNKNOWN_SENDER: &str = "no gateway's address";
+const UNLISTED_ADDRESS: &str = "the address is not in the list of gateways";
 
 /// The parts of the gateway that the peer socket depends on.
 #[derive(Clone)]
@@ -48,7 +48,7 @@
     pub upstream: Rc<Upstream>,
     /// Counters of sent, received and ignored datagrams.
     pub metrics: Rc<Metrics>,
-    /// The wall clock that timestamps health checks.
+    /// The clock that timestamps health checks, in Unix time.
     pub clock: Clock,
     /// The cluster services that are turned on.
     pub services: ClusterServices,
@@ -79,7 +79,7 @@
 }
 
 impl Protocol {
-    fn of(datagram: &[u8]) -> Self {
+    fn recognize(datagram: &[u8]) -> Self {
         if irisrouter_membership::recognizes(datagram) {
             Protocol::Membership
         } else if irisrouter_leases::recognizes(datagram) {
@@ -100,7 +100,7 @@
 
 /// Cached list of the groups that have hosts in service.
 #[derive(Default)]
-struct KnownGroups {
+struct CachedGroups {
     /// The [`Upstream::groups_version`] of the cached list; `None` before the list is first read.
     version: Option<u64>,
     groups: Rc<[GroupId]>,
@@ -114,7 +114,7 @@
     /// Maps the address from which a gateway sends to the gateway.
     gateways_by_address: HashMap<SocketAddr, GatewayId>,
     health_checks: Rc<SharedHealthChecks>,
-    known_groups: RefCell<KnownGroups>,
+    cached_groups: RefCell<CachedGroups>,
     dependencies: Dependencies,
 }
 
@@ -148,7 +148,7 @@
             local_gateway: peers.local_gateway,
             gateways_by_address: gateways_by_address(&peers.gateway_addresses),
             health_checks: Rc::new(health_checks),
-            known_groups: RefCell::default(),
+            cached_groups: RefCell::default(),
             dependencies,
         }))
     }
@@ -156,48 +156,48 @@
     /// Receives datagrams and advances the services. Never returns.
     pub async fn run(self: Rc<Self>) {
         let services = &self.dependencies.services;
-        let mut next_turn = std::pin::pin!(self.next_turn(0));
+        let mut next_batch = std::pin::pin!(self.wait_for_next_batch(0));
         loop {
-            let wait = self.advance_services();
+            let time_until_due = self.advance_services();
             tokio::select! {
-                () = &mut next_turn => {
-                    let received = self.receive_waiting();
-                    next_turn.set(self.next_turn(received));
+                () = &mut next_batch => {
+                    let received = self.receive_batch();
+                    next_batch.set(self.wait_for_next_batch(received));
                 }
                 () = services.write_intent_send_requested() => {}
                 () = services.drain_send_requested() => {}
                 () = services.endpoint_watch_send_requested() => {}
-                () = sleep(wait) => {}
+                () = sleep(time_until_due) => {}
             }
         }
     }
 
     /// Waits until the next batch of datagrams may be received, given the number of datagrams
     /// received in the last batch.
-    async fn next_turn(&self, received: usize) {
+    async fn wait_for_next_batch(&self, received: usize) {
         if received > 0 {
             sleep(RECEIVE_INTERVAL).await;
         } else {
-            self.datagram_ready().await;
+            self.wait_for_datagram().await;
         }
     }
 
     /// Waits until a datagram arrives. The socket is registered with the async runtime only during
     /// this wait; otherwise every datagram would wake the runtime, even between two batches.
-    async fn datagram_ready(&self) {
-        let watched = self.socket.try_clone();
-        match watched.and_then(tokio::net::UdpSocket::from_std) {
+    async fn wait_for_datagram(&self) {
+        let cloned_socket = self.socket.try_clone();
+        match cloned_socket.and_then(tokio::net::UdpSocket::from_std) {
             // If the socket has an error, the next `recv_from` returns it.
-            Ok(watched) => drop(watched.readable().await),
+            Ok(cloned_socket) => drop(cloned_socket.readable().await),
             Err(_) => sleep(RECEIVE_INTERVAL).await,
         }
     }
 
     /// Receives the datagrams in the socket's buffer, at most [`MAX_DATAGRAMS_PER_BATCH`], and
     /// returns their number.
-    fn receive_waiting(&self) -> usize {
+    fn receive_batch(&self) -> usize {
         let mut buffer = [0; RECEIVE_BUFFER_BYTES];
-        for received in 0..MAX_DATAGRAMS_PER_TURN {
+        for received in 0..MAX_DATAGRAMS_PER_BATCH {
             match self.socket.recv_from(&mut buffer) {
                 Ok((length, from)) => self.receive(&buffer[..length], from),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return received,
@@ -206,23 +206,23 @@
                 Err(_) => increment(&self.dependencies.metrics.gossip.ignored),
             }
         }
-        MAX_DATAGRAMS_PER_TURN
+        MAX_DATAGRAMS_PER_BATCH
     }
 
     /// Does the work that is due in all services, and returns the time until the next service has
     /// work due.
     fn advance_services(&self) -> Duration {
-        let mut wait = IDLE_WAIT;
+        let mut time_until_due = MAX_ADVANCE_INTERVAL;
         if self.dependencies.share_health_checks {
             let groups = self.groups_in_service();
-            wait = wait.min(self.advance_leases(&groups));
-            wait = wait.min(self.advance_drains());
-            wait = wait.min(self.advance_endpoint_watch());
-            wait = wait.min(self.advance_site_failover());
-            wait = wait.min(self.health_checks.start_due_rounds());
+            time_until_due = time_until_due.min(self.advance_leases(&groups));
+            time_until_due = time_until_due.min(self.advance_drains());
+            time_until_due = time_until_due.min(self.advance_endpoint_watch());
+            time_until_due = time_until_due.min(self.advance_site_failover());
+            time_until_due = time_until_due.min(self.health_checks.start_due_rounds());
         }
-        wait = wait.min(self.advance_membership());
-        wait.min(self.advance_write_intents())
+        time_until_due = time_until_due.min(self.advance_membership());
+        time_until_due.min(self.advance_write_intents())
     }
 
     /// Returns the groups that have hosts in service, and passes them to the schedule of health
@@ -230,29 +230,29 @@
     fn groups_in_service(&self) -> Rc<[GroupId]> {
         let upstream = &self.dependencies.upstream;
         let version = Some(upstream.groups_version());
-        let mut known = self.known_groups.borrow_mut();
-        if known.version != version {
-            known.version = version;
-            known.groups = upstream.groups_in_service().into();
-            self.health_checks.update_groups(&known.groups);
+        let mut cached = self.cached_groups.borrow_mut();
+        if cached.version != version {
+            cached.version = version;
+            cached.groups = upstream.groups_in_service().into();
+            self.health_checks.update_groups(&cached.groups);
         }
-        Rc::clone(&known.groups)
+        Rc::clone(&cached.groups)
     }
 
     fn advance_leases(&self, groups: &[GroupId]) -> Duration {
         let services = &self.dependencies.services;
         let Some(leases) = &services.leases else {
-            return IDLE_WAIT;
+            return MAX_ADVANCE_INTERVAL;
         };
         let datagrams = leases.advance(services.leased_tasks(groups).into_iter());
         let sent = &self.dependencies.metrics.leases.sent;
         self.sender.send_all(datagrams, sent);
-        until(leases.due())
+        time_until(leases.due())
     }
 
     fn advance_drains(&self) -> Duration {
         let Some(drains) = &self.dependencies.services.drains else {
-            return IDLE_WAIT;
+            return MAX_ADVANCE_INTERVAL;
         };
         let sent = &self.dependencies.metrics.drains.sent;
         self.sender.send_all(drains.advance(), sent);
@@ -261,7 +261,7 @@
 
     fn advance_endpoint_watch(&self) -> Duration {
         let Some(endpoint_watch) = &self.dependencies.services.endpoint_watch else {
-            return IDLE_WAIT;
+            return MAX_ADVANCE_INTERVAL;
         };
         if let Some(heartbeat) = endpoint_watch.heartbeat() {
             let sent = &self.dependencies.metrics.endpoint_watch.heartbeats;
@@ -272,7 +272,7 @@
 
     fn advance_site_failover(&self) -> Duration {
         let Some(site_failover) = &self.dependencies.services.site_failover else {
-            return IDLE_WAIT;
+            return MAX_ADVANCE_INTERVAL;
         };
         let sent = &self.dependencies.metrics.site_failover.sent;
         self.sender.send_all(site_failover.advance(), sent);
@@ -281,20 +281,20 @@
 
     fn advance_membership(&self) -> Duration {
         let Some(membership) = &self.dependencies.services.membership else {
-            return IDLE_WAIT;
+            return MAX_ADVANCE_INTERVAL;
         };
         let sent = &self.dependencies.metrics.membership.sent;
         self.sender.send_all(membership.advance(), sent);
-        until(membership.due())
+        time_until(membership.due())
     }
 
     fn advance_write_intents(&self) -> Duration {
         let Some(write_intents) = &self.dependencies.services.write_intents else {
-            return IDLE_WAIT;
+            return MAX_ADVANCE_INTERVAL;
         };
         let sent = &self.dependencies.metrics.write_intents.sent;
         self.sender.send_all(write_intents.advance(), sent);
-        until(write_intents.due())
+        time_until(write_intents.due())
     }
 
     /// Releases all leases, and announces to a few other gateways that this gateway stops.
@@ -315,7 +315,7 @@
         let Some(&gateway) = self.gateways_by_address.get(&from) else {
             // Without this check, an unknown process could become a member of the fleet by sending
             // a datagram.
-            ignore_datagram(&self.dependencies.metrics, from, &UNKNOWN_SENDER);
+            ignore_datagram(&self.dependencies.metrics, from, &UNLISTED_ADDRESS);
             return;
         };
         // A broadcast datagram may also be delivered to its sender.
@@ -340,7 +340,7 @@
     ) {
         let metrics = &self.dependencies.metrics;
         let services = &self.dependencies.services;
-        match Protocol::of(datagram) {
+        match Protocol::recognize(datagram) {
             Protocol::Membership => {
                 let answers = membership.receive(datagram, gateway);
                 self.sender.send_all(answers, &metrics.membership.sent);
@@ -405,6 +405,6 @@
 }
 
 /// Returns the time until an instant, or zero if the instant has passed.
-fn until(instant: Instant) -> Duration {
+fn time_until(instant: Instant) -> Duration {
     instant.saturating_duration_since(Instant::now())
 }
--- a/src/net/cluster/shared_health_checks.rs
+++ b/src/net/cluster/shared_health_checks.rs
@@ -31,9 +31,9 @@
 
 /// How long the results of a round are collected before they are sent together. Without this limit,
 /// one unresponsive host would delay the results of all other hosts of the group.
-const RESULT_WAIT: Duration = Duration::from_millis(25);
+const RESULT_BATCH_INTERVAL: Duration = Duration::from_millis(25);
 /// Time until this gateway checks for new groups, if no round is due earlier.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
+const GROUP_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs rounds of health checks, and shares their results with the other gateways.
 pub struct SharedHealthChecks {
@@ -93,7 +93,7 @@
 
     /// Replaces the groups whose hosts are checked.
     pub fn update_groups(&self, groups: &[GroupId]) {
-        let now = unix_nanoseconds(self.clock.now());
+        let now = to_unix_nanoseconds(self.clock.now());
         let group_numbers: Vec<i64> = groups.iter().map(|group| group.0).collect();
         let mut schedule = self.schedule.borrow_mut();
         schedule.update_groups(now, &group_numbers);
@@ -106,18 +106,18 @@
     /// schedule assigns to it, which depend only on the results that arrived. Two gateways may then
     /// check the same group, but no group is left unchecked.
     pub fn start_due_rounds(self: &Rc<Self>) -> Duration {
-        let now = unix_nanoseconds(self.clock.now());
+        let now = to_unix_nanoseconds(self.clock.now());
         let mut schedule = self.schedule.borrow_mut();
         let leases = self.leases.as_ref().filter(|leases| leases.in_majority());
         let (due_groups, next_due) = match leases {
             Some(leases) => {
-                let holds_lease = |group| {
+                let is_lease_held = |group| {
                     let task = LeasedTask::HealthChecks(GroupId(group));
                     leases.fencing_token(task).is_some()
                 };
                 (
-                    schedule.start_due_leased_rounds(now, holds_lease),
-                    schedule.next_leased_due(holds_lease),
+                    schedule.start_due_leased_rounds(now, is_lease_held),
+                    schedule.next_leased_due(is_lease_held),
                 )
             }
             None => (schedule.start_due_rounds(now), schedule.next_due()),
@@ -126,7 +126,7 @@
             let lease = leases.and_then(|leases| RoundLease::acquire(leases, group));
             spawn_local(Rc::clone(self).run_round(group, lease));
         }
-        next_due.map_or(IDLE_WAIT, |next_due| {
+        next_due.map_or(GROUP_REFRESH_INTERVAL, |next_due| {
             duration(TimeDelta::from_nanos((next_due - now).0))
         })
     }
@@ -140,7 +140,7 @@
             let lease = lease.clone();
             checks.spawn_local(async move { health_checks.check(member, lease).await });
         }
-        let mut deadline = Instant::now() + RESULT_WAIT;
+        let mut deadline = Instant::now() + RESULT_BATCH_INTERVAL;
         while !checks.is_empty() {
             let mut results = Vec::new();
             while let Ok(Some(result)) = timeout_at(deadline, checks.join_next()).await {
@@ -148,9 +148,9 @@
             }
             // Results that arrive after the first batch are sent in further batches of the same
             // duration.
-            deadline = Instant::now() + RESULT_WAIT;
+            deadline = Instant::now() + RESULT_BATCH_INTERVAL;
             if !results.is_empty() {
-                self.share(&results);
+                self.broadcast_results(&results);
                 self.router.post(Event::SharedHealthChecks(results));
             }
         }
@@ -194,8 +194,8 @@
 
     /// Sends results to all gateways. Lost datagrams are not retransmitted: gateways that receive
     /// no results run rounds of their own.
-    fn share(&self, results: &[SharedHealthCheck]) {
-        let checked_at = unix_nanoseconds(self.clock.now());
+    fn broadcast_results(&self, results: &[SharedHealthCheck]) {
+        let checked_at = to_unix_nanoseconds(self.clock.now());
         for chunk in results.chunks(message::MAX_RESULTS) {
             let results: Vec<HealthCheckResult> = chunk
                 .iter()
@@ -216,7 +216,7 @@
     fn to_message_result(&self, result: &SharedHealthCheck) -> Option<HealthCheckResult> {
         Some(HealthCheckResult {
             host: self.upstream.fleet_host_id(result.member)?,
-            position: result.report.position.map(unix_nanoseconds),
+            position: result.report.position.map(to_unix_nanoseconds),
             primary: result.report.primary?,
             cores_in_use: result.report.cores_in_use,
         })
@@ -232,17 +232,17 @@
                 return;
             }
         }
-        match message::decode(datagram, unix_nanoseconds(now)) {
-            Ok(message) => self.apply(&message, gateway, now),
+        match message::decode(datagram, to_unix_nanoseconds(now)) {
+            Ok(message) => self.apply_results(&message, gateway, now),
             Err(error) => ignore_datagram(&self.metrics, from, &error),
         }
     }
 
     /// Posts results to the router, and records their rounds in the schedule.
-    fn apply(&self, message: &Message, gateway: GatewayId, now: Timestamp) {
+    fn apply_results(&self, message: &Message, gateway: GatewayId, now: Timestamp) {
         increment(&self.metrics.gossip.received);
         // The clocks of gateways differ, so a time in the future is replaced by the current time.
-        let checked_at = timestamp(message.checked_at).min(now);
+        let checked_at = to_timestamp(message.checked_at).min(now);
         let mut results = Vec::with_capacity(message.results.len());
         let mut last_group = None;
         for result in &message.results {
@@ -253,13 +253,14 @@
             // All results of one round are of the same group, so the round is recorded once.
             if last_group.replace(group) != Some(group) {
                 let mut schedule = self.schedule.borrow_mut();
-                schedule.record_round(group.0, gateway, unix_nanoseconds(checked_at));
+                schedule.record_round(group.0, gateway, to_unix_nanoseconds(checked_at));
             }
             results.push(SharedHealthCheck {
                 member,
                 at: checked_at,
                 report: LoadReport {
-                    position: (result.position).map(|position| timestamp(position).min(checked_at)),
+                    position: (result.position)
+                        .map(|position| to_timestamp(position).min(checked_at)),
                     primary: Some(result.primary),
                     in_flight: None,
                     cores_in_use: result.cores_in_use,
@@ -273,11 +274,11 @@
 }
 
 /// Converts an instant of the router's clock to the type used in messages.
-fn unix_nanoseconds(instant: Timestamp) -> UnixNanoseconds {
+fn to_unix_nanoseconds(instant: Timestamp) -> UnixNanoseconds {
     UnixNanoseconds(instant.as_nanos())
 }
 
 /// Converts an instant from a message to the router's clock. Both count nanoseconds of Unix time.
-fn timestamp(instant: UnixNanoseconds) -> Timestamp {
+fn to_timestamp(instant: UnixNanoseconds) -> Timestamp {
     Timestamp::from_nanos(instant.0)
 }
--- a/src/net/cluster/site_failover.rs
+++ b/src/net/cluster/site_failover.rs
@@ -31,7 +31,7 @@
 use std::time::Duration;
 
 /// Time between two load reports, and between two plans.
-const PERIOD: Milliseconds = Milliseconds(500);
+const REPORT_PERIOD: Milliseconds = Milliseconds(500);
 /// Number of candidates for the planning lease that receive load reports. It is more than one, so
 /// that the next holder already has reports when the lease changes hands.
 const REPORT_RECEIVERS: usize = 3;
@@ -170,7 +170,7 @@
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
         let now = self.clock.now();
         let last_report_at = self.local_load.last_report_at.get();
-        if now < last_report_at + PERIOD {
+        if now < last_report_at + REPORT_PERIOD {
             return Vec::new();
         }
         self.local_load.last_report_at.set(now);
@@ -197,7 +197,7 @@
 
     /// Returns the time until [`SiteFailoverService::advance`] has work due.
     pub fn due(&self) -> Duration {
-        let due_at = self.local_load.last_report_at.get() + PERIOD;
+        let due_at = self.local_load.last_report_at.get() + REPORT_PERIOD;
         ServiceClock::time_until(self.clock.now(), due_at)
     }
 
@@ -256,8 +256,8 @@
 
     /// Follows a plan if it is later than the latest plan received so far.
     fn follow(&self, plan: Plan) {
-        let is_followed = self.follower.borrow_mut().receive(self.clock.now(), plan);
-        if is_followed {
+        let is_newer = self.follower.borrow_mut().receive(self.clock.now(), plan);
+        if is_newer {
             self.publish_plan_in_force();
         }
     }
--- a/src/net/cluster/site_failover_planning.rs
+++ b/src/net/cluster/site_failover_planning.rs
@@ -15,10 +15,11 @@
 /// Load reports older than this are removed, so that a gateway that stopped reporting is no longer
 /// counted.
 const REPORT_EXPIRY: Milliseconds = Milliseconds(3_000);
-/// Start of the countdown of inactive plans, which change nothing: they are sent while the
-/// countdown is above 0 after its decrement. They are sent repeatedly because datagrams may be
-/// lost; a gateway that receives none of them follows the last plan until that plan expires.
-const CLOSING_PLANS: u32 = 6;
+/// Start value of the countdown that limits how often inactive plans, which change nothing, are
+/// sent: each of them decrements the countdown, and is sent if the result is above 0. They are sent
+/// several times because datagrams may be lost; a gateway that receives none of them follows the
+/// last plan until that plan expires.
+const INACTIVE_PLAN_COUNTDOWN: u32 = 6;
 
 /// The planner of this gateway, with the load reports that it works from.
 pub struct Planning {
@@ -27,7 +28,7 @@
     /// The epoch under which this gateway last planned.
     last_epoch: Cell<Epoch>,
     /// Countdown from [`INACTIVE_PLAN_COUNTDOWN`], restarted by each plan that changes anything.
-    closing_plans: Cell<u32>,
+    inactive_plan_countdown: Cell<u32>,
     /// Capacity of a warmed-up host of size 1, in requests per second.
     capacity_per_s: f64,
 }
@@ -49,7 +50,7 @@
 }
 
 impl Planning {
-    /// Creates a planner without any load reports.
+    /// Creates the planning state, without any load reports.
     ///
     /// # Errors
     ///
@@ -59,7 +60,7 @@
             planner: RefCell::new(Planner::new(settings)?),
             reports: RefCell::default(),
             last_epoch: Cell::default(),
-            closing_plans: Cell::new(0),
+            inactive_plan_countdown: Cell::new(0),
             capacity_per_s,
         })
     }
@@ -93,13 +94,13 @@
         self.observe_sites(input, &mut planner, &reports);
         let class_rates = reports.class_rates(input.names.classes.len());
         let plan = planner.next_plan(input.epoch, &class_rates, input.alive_count as u32);
-        let closing_plans = if plan.in_force() {
-            CLOSING_PLANS
+        let inactive_plan_countdown = if plan.in_force() {
+            INACTIVE_PLAN_COUNTDOWN
         } else {
-            self.closing_plans.get().saturating_sub(1)
+            self.inactive_plan_countdown.get().saturating_sub(1)
         };
-        self.closing_plans.set(closing_plans);
-        (closing_plans > 0).then_some(plan)
+        self.inactive_plan_countdown.set(inactive_plan_countdown);
+        (inactive_plan_countdown > 0).then_some(plan)
     }
 
     /// Passes the sums of all reports to the planner, and logs the sites whose state changed.
--- a/src/net/cluster/write_intents.rs
+++ b/src/net/cluster/write_intents.rs
@@ -36,9 +36,9 @@
     clock: ServiceClock,
     metrics: Rc<Metrics>,
     /// Senders to the request tasks that wait for the outcome of a record or look-up.
-    waiting: RefCell<HashMap<OperationId, oneshot::Sender<Outcome>>>,
+    pending_operations: RefCell<HashMap<OperationId, oneshot::Sender<Outcome>>>,
     outbox: Outbox,
-    datagrams_waiting: Notify,
+    datagrams_queued: Notify,
     /// Whether clients mark their retries. If they do not, any write may be a retry.
     clients_mark_retries: bool,
 }
@@ -62,9 +62,9 @@
             membership,
             clock: ServiceClock::start(),
             metrics,
-            waiting: RefCell::default(),
+            pending_operations: RefCell::default(),
             outbox: Outbox::new(gateways),
-            datagrams_waiting: Notify::new(),
+            datagrams_queued: Notify::new(),
             clients_mark_retries,
         }
     }
@@ -75,16 +75,16 @@
         self.store.borrow_mut().on_socket_opened(self.clock.now());
     }
 
-    /// Returns whether a write may be a retry of a write that another gateway has sent. `marked` is whether the client
-    /// marked the write as a retry.
-    pub fn may_be_retry(&self, marked: bool) -> bool {
-        marked || !self.clients_mark_retries
+    /// Returns whether a write may be a retry of a write that another gateway has sent. `marked_as_retry` is whether
+    /// the client marked the write as a retry.
+    pub fn may_be_retry(&self, marked_as_retry: bool) -> bool {
+        marked_as_retry || !self.clients_mark_retries
     }
 
     /// Records the intent of a write at its replicas before the write is sent; the write may be executed from
     /// `first_sent_at` on. Returns whether enough replicas acknowledged the intent.
     pub async fn record(&self, key: KeyHash, first_sent_at: UnixMilliseconds) -> bool {
-        let gateways = self.gateways_up();
+        let gateways = self.alive_or_suspect_gateways();
         let outcome = self
             .run_operation(|store, now| store.record(now, key, first_sent_at, &gateways))
             .await;
@@ -99,34 +99,34 @@
 
     /// Asks the replicas of a write's intent whether an earlier attempt may have been executed.
     pub async fn look_up(&self, key: KeyHash) -> EarlierAttempt {
-        let gateways = self.gateways_up();
+        let gateways = self.alive_or_suspect_gateways();
         let outcome = self
             .run_operation(|store, now| store.look_up(now, key, &gateways))
             .await;
-        let found = match outcome {
+        let earlier_attempt = match outcome {
             Some(Outcome::MayHaveRunSince(first_sent_at)) => {
                 EarlierAttempt::MayHaveRun(first_sent_at)
             }
             Some(Outcome::NeverSent) => EarlierAttempt::NeverSent,
             _ => EarlierAttempt::Unproven,
         };
-        increment(match found {
+        increment(match earlier_attempt {
             EarlierAttempt::MayHaveRun(_) => &self.metrics.write_intents.found,
             EarlierAttempt::NeverSent => &self.metrics.write_intents.never_sent,
             EarlierAttempt::Unproven => &self.metrics.write_intents.unproven,
         });
-        found
+        earlier_attempt
     }
 
     /// Withdraws the intent of a write that was never executed.
     pub fn withdraw(&self, key: KeyHash) {
-        let gateways = self.gateways_up();
-        self.call_store(|store, _| store.withdraw(key, &gateways));
+        let gateways = self.alive_or_suspect_gateways();
+        self.update_store(|store, _| store.withdraw(key, &gateways));
     }
 
     /// Processes a datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
-        self.call_store(|store, now| {
+        self.update_store(|store, now| {
             if let Err(error) = store.receive(now, from, datagram) {
                 increment(&self.metrics.gossip.ignored);
                 log!("write intents: a datagram from gateway {from} is ignored: {error}");
@@ -137,7 +137,7 @@
 
     /// Does the work that is due. Returns the datagrams to send.
     pub fn advance(&self) -> Vec<OutgoingDatagram> {
-        self.call_store(|store, now| store.advance(now));
+        self.update_store(|store, now| store.advance(now));
         self.outbox.take()
     }
 
@@ -148,12 +148,12 @@
 
     /// Waits until there are datagrams to send.
     pub async fn send_requested(&self) {
-        self.datagrams_waiting.notified().await;
+        self.datagrams_queued.notified().await;
     }
 
     /// Returns the gateways that are alive or suspect.
-    fn gateways_up(&self) -> Vec<GatewayId> {
-        self.membership.not_down()
+    fn alive_or_suspect_gateways(&self) -> Vec<GatewayId> {
+        self.membership.alive_or_suspect_gateways()
     }
 
     /// Starts a record or a look-up, and waits for its outcome.
@@ -163,14 +163,16 @@
     ) -> Option<Outcome> {
         let (sender, outcome) = oneshot::channel();
         // The store may decide the outcome immediately, so the sender is registered before the actions are carried out.
-        self.call_store(|store, now| {
+        self.update_store(|store, now| {
             let operation = start(store, now);
-            self.waiting.borrow_mut().insert(operation, sender);
+            self.pending_operations
+                .borrow_mut()
+                .insert(operation, sender);
         });
         outcome.await.ok()
     }
 
-    fn call_store(&self, call: impl FnOnce(&mut IntentStore, Timestamp)) {
+    fn update_store(&self, call: impl FnOnce(&mut IntentStore, Timestamp)) {
         let mut store = self.store.borrow_mut();
         call(&mut store, self.clock.now());
         self.carry_out_actions(&mut store);
@@ -181,15 +183,15 @@
             match action {
                 Action::Send { to, bytes } => self.outbox.push(to, bytes),
                 Action::Ended { operation, outcome } => {
-                    if let Some(waiting) = self.waiting.borrow_mut().remove(&operation) {
+                    if let Some(sender) = self.pending_operations.borrow_mut().remove(&operation) {
                         // The send fails if the request has ended meanwhile, which needs no handling.
-                        let _ = waiting.send(outcome);
+                        let _ = sender.send(outcome);
                     }
                 }
             }
         }
         if !self.outbox.is_empty() {
-            self.datagrams_waiting.notify_one();
+            self.datagrams_queued.notify_one();
         }
     }
 }
