--- a/crates/datagram/src/magic.rs
+++ b/crates/datagram/src/magic.rs
@@ -15,12 +15,12 @@
 pub const ENDPOINT_WATCH: u8 = 0xF1;
 
 /// Mask of the bits of the first byte that identify the protocol.
-const PROTOCOL_BITS: u8 = 0xf0;
+const PROTOCOL_MASK: u8 = 0xf0;
 
 /// Returns whether a datagram belongs to the protocol of this magic byte, in any version.
 #[must_use]
 pub fn has_magic(datagram: &[u8], magic: u8) -> bool {
     datagram
         .first()
-        .is_some_and(|first| first & PROTOCOL_BITS == magic & PROTOCOL_BITS)
+        .is_some_and(|first| first & PROTOCOL_MASK == magic & PROTOCOL_MASK)
 }
--- a/crates/datagram/tests/datagram.rs
+++ b/crates/datagram/tests/datagram.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn magic_bytes_differ_between_protocols_and_match_across_versions() {
-    let all = [
+    let magic_bytes = [
         magic::MEMBERSHIP,
         magic::LEASES,
         magic::WRITE_INTENTS,
@@ -18,9 +18,12 @@
         // Shared health-check results, which have their own version byte.
         0x01,
     ];
-    for (index, one) in all.iter().enumerate() {
-        let mut later = all[index + 1..].iter();
-        assert!(later.all(|other| !has_magic(&[*other], *one)), "{one:#x}");
+    for (index, first_byte) in magic_bytes.iter().enumerate() {
+        let mut following = magic_bytes[index + 1..].iter();
+        assert!(
+            following.all(|other| !has_magic(&[*other], *first_byte)),
+            "{first_byte:#x}"
+        );
     }
     assert!(has_magic(&[magic::LEASES + 1], magic::LEASES));
     assert!(!has_magic(&[], magic::LEASES));
@@ -68,12 +71,12 @@
 
 #[test]
 fn item_list_is_cut_at_the_datagram_limit() {
-    let most = max_items::<(), Sample>();
-    assert_eq!(most, 84);
-    let bytes = encode_items(7, &(), &vec![Sample('a', 1); most + 5]);
+    let max = max_items::<(), Sample>();
+    assert_eq!(max, 84);
+    let bytes = encode_items(7, &(), &vec![Sample('a', 1); max + 5]);
     assert!(bytes.len() <= MAX_DATAGRAM_BYTES);
     let decoded = decode_items::<(), Sample>(7, &bytes).expect("decodes");
-    assert_eq!(decoded.items.len(), most);
+    assert_eq!(decoded.items.len(), max);
 }
 
 #[test]
--- a/crates/datagram/tests/golden.rs
+++ b/crates/datagram/tests/golden.rs
@@ -34,21 +34,21 @@
     ]
 }
 
-fn fields(datagram: &[u8]) -> Result<(u8, u16, u32, u64), WireError> {
-    let mut from = Reader::new(datagram, MAGIC)?;
-    let fields = (from.u8()?, from.u16()?, from.u32()?, from.u64()?);
-    from.end()?;
+fn read_fields(datagram: &[u8]) -> Result<(u8, u16, u32, u64), WireError> {
+    let mut reader = Reader::new(datagram, MAGIC)?;
+    let fields = (reader.u8()?, reader.u16()?, reader.u32()?, reader.u64()?);
+    reader.end()?;
     Ok(fields)
 }
 
-fn items(datagram: &[u8]) -> Result<Vec<u16>, WireError> {
+fn read_items(datagram: &[u8]) -> Result<Vec<u16>, WireError> {
     Reader::new(datagram, MAGIC)?.items(2, Reader::u16)
 }
 
 // Helpers.
 
 /// Returns the bytes with the byte at index `at` replaced by `value`.
-fn changed(bytes: &[u8], at: usize, value: u8) -> Vec<u8> {
+fn with_byte(bytes: &[u8], at: usize, value: u8) -> Vec<u8> {
     let mut bytes = bytes.to_vec();
     bytes[at] = value;
     bytes
@@ -92,53 +92,60 @@
 #[test]
 fn fields_are_read_with_the_most_significant_byte_first() {
     assert_eq!(
-        fields(&FIELDS),
+        read_fields(&FIELDS),
         Ok((0x01, 0x1112, 0x2122_2324, 0x3132_3334_3536_3738))
     );
 }
 
 #[test]
-fn items_are_read_in_the_order_in_which_they_stand() {
-    assert_eq!(items(&TWO_ITEMS), Ok(vec![0x4142, 0x4344]));
-    assert_eq!(items(&[0x71, 0x00]), Ok(Vec::new()));
+fn items_are_read_in_the_order_of_the_datagram() {
+    assert_eq!(read_items(&TWO_ITEMS), Ok(vec![0x4142, 0x4344]));
+    assert_eq!(read_items(&[0x71, 0x00]), Ok(Vec::new()));
 }
 
 #[test]
 fn datagram_of_the_longest_length_is_read_and_one_byte_more_is_refused_as_long() {
     let longest = [&[0x71, 127][..], &[0x55; 254]].concat();
-    assert_eq!(items(&longest), Ok(vec![0x5555; 127]));
-    assert_eq!(items(&[longest, vec![0]].concat()), Err(WireError::Long));
+    assert_eq!(read_items(&longest), Ok(vec![0x5555; 127]));
+    assert_eq!(
+        read_items(&[longest, vec![0]].concat()),
+        Err(WireError::Long)
+    );
     // The length is checked before the first byte.
-    assert_eq!(items(&[0x72; 257]), Err(WireError::Long));
+    assert_eq!(read_items(&[0x72; 257]), Err(WireError::Long));
 }
 
 // Rejected datagrams.
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
-    assert_eq!(fields(&[]), Err(WireError::Short));
-    assert_eq!(items(&[]), Err(WireError::Short));
+    assert_eq!(read_fields(&[]), Err(WireError::Short));
+    assert_eq!(read_items(&[]), Err(WireError::Short));
 }
 
 #[test]
 fn other_first_byte_is_refused_with_its_value() {
     for first in [0x00, 0x70, 0x72, 0xff] {
         assert_eq!(
-            fields(&changed(&FIELDS, 0, first)),
+            read_fields(&with_byte(&FIELDS, 0, first)),
             Err(WireError::Version(first))
         );
-        assert_eq!(items(&[first]), Err(WireError::Version(first)));
+        assert_eq!(read_items(&[first]), Err(WireError::Version(first)));
     }
 }
 
 #[test]
 fn datagram_cut_anywhere_is_refused_as_short() {
     for end in 0..FIELDS.len() {
-        assert_eq!(fields(&FIELDS[..end]), Err(WireError::Short), "{end} bytes");
+        assert_eq!(
+            read_fields(&FIELDS[..end]),
+            Err(WireError::Short),
+            "{end} bytes"
+        );
     }
     for end in 0..TWO_ITEMS.len() {
         assert_eq!(
-            items(&TWO_ITEMS[..end]),
+            read_items(&TWO_ITEMS[..end]),
             Err(WireError::Short),
             "{end} bytes"
         );
@@ -147,29 +154,41 @@
 
 #[test]
 fn trailing_bytes_are_refused_as_long() {
-    assert_eq!(fields(&[&FIELDS[..], &[0]].concat()), Err(WireError::Long));
     assert_eq!(
-        items(&[&TWO_ITEMS[..], &[0]].concat()),
+        read_fields(&[&FIELDS[..], &[0]].concat()),
         Err(WireError::Long)
     );
     assert_eq!(
-        items(&[&TWO_ITEMS[..], &[0, 0]].concat()),
+        read_items(&[&TWO_ITEMS[..], &[0]].concat()),
+        Err(WireError::Long)
+    );
+    assert_eq!(
+        read_items(&[&TWO_ITEMS[..], &[0, 0]].concat()),
         Err(WireError::Long)
     );
 }
 
 #[test]
-fn count_other_than_the_items_that_follow_is_refused() {
-    assert_eq!(items(&changed(&TWO_ITEMS, 1, 3)), Err(WireError::Short));
-    assert_eq!(items(&changed(&TWO_ITEMS, 1, 255)), Err(WireError::Short));
-    assert_eq!(items(&changed(&TWO_ITEMS, 1, 1)), Err(WireError::Long));
+fn count_that_differs_from_the_number_of_items_is_refused() {
+    assert_eq!(
+        read_items(&with_byte(&TWO_ITEMS, 1, 3)),
+        Err(WireError::Short)
+    );
+    assert_eq!(
+        read_items(&with_byte(&TWO_ITEMS, 1, 255)),
+        Err(WireError::Short)
+    );
+    assert_eq!(
+        read_items(&with_byte(&TWO_ITEMS, 1, 1)),
+        Err(WireError::Long)
+    );
 }
 
 #[test]
 fn error_of_an_item_is_the_error_of_the_datagram() {
-    let refuse =
-        |from: &mut Reader<'_>| Err::<(), _>(WireError::Unknown("kind", from.u16()? as u8));
-    let read = Reader::new(&TWO_ITEMS, MAGIC).and_then(|from| from.items(2, refuse));
+    let reject =
+        |reader: &mut Reader<'_>| Err::<(), _>(WireError::Unknown("kind", reader.u16()? as u8));
+    let read = Reader::new(&TWO_ITEMS, MAGIC).and_then(|reader| reader.items(2, reject));
     assert_eq!(read, Err(WireError::Unknown("kind", 0x42)));
 }
 
