--- a/crates/gossip/src/health_check_schedule.rs
+++ b/crates/gossip/src/health_check_schedule.rs
@@ -1,9 +1,9 @@
 //! Schedule that decides which gateway starts the next round of health checks of a group, and when.
 //!
 //! For each group, rendezvous hashing gives the gateways a fixed order. The gateway that ran the
-//! last round runs the next one, a period later. The others are on standby: each of them starts the
-//! round if no other gateway has started it by that gateway's own due time, which is one
-//! `STANDBY_INTERVAL` after that of the preceding gateway in the group's order. Therefore
+//! last round runs the next one, a period later. The others are on standby: each has a due time
+//! that is one `STANDBY_INTERVAL` after that of the preceding gateway in the group's order, and
+//! starts the round if no other gateway has started it by then. Therefore
 //!
 //! - a group is checked once a period, however many gateways there are;
 //! - a failed gateway is replaced after one interval for each failed gateway that precedes the
@@ -11,7 +11,7 @@
 //! - no gateway needs to know which others are alive.
 //!
 //! If results are not delivered between two gateways, each runs rounds of its own: message loss
-//! leads to more health checks, never to fewer.
+//! leads to more health checks, and never leaves a group unchecked.
 
 use crate::{Nanoseconds, UnixNanoseconds};
 use irisrouter_cluster_types::GatewayId;
@@ -41,7 +41,7 @@
     }
 
     /// Returns when this gateway starts the next round, unless another gateway starts one earlier.
-    fn next_due_at(&self, local_gateway: GatewayId) -> UnixNanoseconds {
+    fn next_local_due(&self, local_gateway: GatewayId) -> UnixNanoseconds {
         let standby_rank = match self.gateway {
             Some(gateway) if gateway == local_gateway => 0,
             Some(_) => 1 + self.local_rank,
@@ -70,7 +70,7 @@
     due: BTreeSet<DueRound>,
     /// When this gateway starts the next round of each group, unless another gateway starts one
     /// earlier.
-    due_here: BTreeSet<DueRound>,
+    local_due: BTreeSet<DueRound>,
 }
 
 impl HealthCheckSchedule {
@@ -82,25 +82,27 @@
             gateway_count,
             rounds: BTreeMap::new(),
             due: BTreeSet::new(),
-            due_here: BTreeSet::new(),
+            local_due: BTreeSet::new(),
         }
     }
 
     /// Replaces the list of groups. The first round of a new group is due immediately at the first
     /// gateway in the group's order.
     pub fn update_groups(&mut self, now: UnixNanoseconds, groups: &[i64]) {
-        let wanted: HashSet<i64> = groups.iter().copied().collect();
-        let known = self.rounds.keys().copied();
-        let removed: Vec<i64> = known.filter(|group| !wanted.contains(group)).collect();
+        let new_groups: HashSet<i64> = groups.iter().copied().collect();
+        let previous_groups = self.rounds.keys().copied();
+        let removed: Vec<i64> = previous_groups
+            .filter(|group| !new_groups.contains(group))
+            .collect();
         for group in removed {
             self.remove(group);
         }
-        for group in wanted {
+        for group in new_groups {
             if !self.rounds.contains_key(&group) {
                 let round = HealthCheckRound {
                     started_at: now - ROUND_PERIOD,
                     gateway: None,
-                    local_rank: rank(group, self.local_gateway, self.gateway_count),
+                    local_rank: order_rank(group, self.local_gateway, self.gateway_count),
                 };
                 self.insert(group, round);
             }
@@ -109,10 +111,10 @@
 
     fn insert(&mut self, group: i64, round: HealthCheckRound) {
         let due = round.next_due();
-        let due_here = round.next_due_at(self.local_gateway);
+        let local_due = round.next_local_due(self.local_gateway);
         self.due.insert(DueRound { due, group });
-        self.due_here.insert(DueRound {
-            due: due_here,
+        self.local_due.insert(DueRound {
+            due: local_due,
             group,
         });
         self.rounds.insert(group, round);
@@ -121,10 +123,10 @@
     fn remove(&mut self, group: i64) -> Option<HealthCheckRound> {
         let round = self.rounds.remove(&group)?;
         let due = round.next_due();
-        let due_here = round.next_due_at(self.local_gateway);
+        let local_due = round.next_local_due(self.local_gateway);
         self.due.remove(&DueRound { due, group });
-        self.due_here.remove(&DueRound {
-            due: due_here,
+        self.local_due.remove(&DueRound {
+            due: local_due,
             group,
         });
         Some(round)
@@ -149,7 +151,7 @@
 
     /// Records that this gateway starts all rounds that are due at it, and returns their groups.
     pub fn start_due_rounds(&mut self, now: UnixNanoseconds) -> Vec<i64> {
-        let due = due_by(&self.due_here, now).collect();
+        let due = due_by(&self.local_due, now).collect();
         self.start_rounds(now, due)
     }
 
@@ -159,11 +161,11 @@
     pub fn start_due_leased_rounds(
         &mut self,
         now: UnixNanoseconds,
-        holds_lease: impl Fn(i64) -> bool,
+        is_lease_held: impl Fn(i64) -> bool,
     ) -> Vec<i64> {
         let due = due_by(&self.due, now);
-        let held = due.filter(|&group| holds_lease(group)).collect();
-        self.start_rounds(now, held)
+        let leased = due.filter(|&group| is_lease_held(group)).collect();
+        self.start_rounds(now, leased)
     }
 
     /// Records that this gateway starts rounds of these groups, and returns the groups in ascending
@@ -178,13 +180,13 @@
 
     /// Returns when this gateway starts its next round, unless another gateway starts one earlier.
     pub fn next_due(&self) -> Option<UnixNanoseconds> {
-        self.due_here.first().map(|round| round.due)
+        self.local_due.first().map(|round| round.due)
     }
 
     /// Returns when the next round is due among the groups whose leases this gateway holds.
-    pub fn next_leased_due(&self, holds_lease: impl Fn(i64) -> bool) -> Option<UnixNanoseconds> {
+    pub fn next_leased_due(&self, is_lease_held: impl Fn(i64) -> bool) -> Option<UnixNanoseconds> {
         let mut rounds = self.due.iter();
-        let next = rounds.find(|round| holds_lease(round.group));
+        let next = rounds.find(|round| is_lease_held(round.group));
         next.map(|round| round.due)
     }
 }
@@ -197,7 +199,7 @@
 
 /// Returns the number of gateways that precede this one in the order of a group, which are those of
 /// greater weight.
-fn rank(group: i64, local_gateway: GatewayId, gateway_count: u32) -> i64 {
+fn order_rank(group: i64, local_gateway: GatewayId, gateway_count: u32) -> i64 {
     let local_weight = weight(group, local_gateway);
     (0..gateway_count)
         .map(GatewayId)
--- a/crates/gossip/src/message.rs
+++ b/crates/gossip/src/message.rs
@@ -29,10 +29,10 @@
 /// in the future are rejected, because those results would take precedence over all that arrive
 /// later.
 const MAX_CLOCK_SKEW: Nanoseconds = Nanoseconds::from_millis(20);
-const UNKNOWN_LAG: u16 = u16::MAX;
+const UNKNOWN_LAG_MS: u16 = u16::MAX;
 const UNKNOWN_CORES_IN_USE: u8 = 0x7f;
 /// Largest share of cores in use that can be encoded, in hundredths.
-const MAX_CORES_IN_USE: f64 = 126.0;
+const MAX_CORES_IN_USE_HUNDREDTHS: f64 = 126.0;
 const PRIMARY_BIT: u8 = 0x80;
 
 /// The state that one host reported in a health check.
@@ -103,9 +103,9 @@
 /// Encodes how far a position is behind the time of the checks, in milliseconds. The position is
 /// rounded down, because a position rounded up would include commits that the host has not applied.
 fn encode_lag(position: Option<UnixNanoseconds>, checked_at_ms: i64) -> u16 {
-    position.map_or(UNKNOWN_LAG, |position| {
+    position.map_or(UNKNOWN_LAG_MS, |position| {
         let lag_ms = checked_at_ms - position.as_millis();
-        lag_ms.clamp(0, i64::from(UNKNOWN_LAG)) as u16
+        lag_ms.clamp(0, i64::from(UNKNOWN_LAG_MS)) as u16
     })
 }
 
@@ -115,7 +115,9 @@
     cores_in_use
         .filter(|share| share.is_finite())
         .map_or(UNKNOWN_CORES_IN_USE, |share| {
-            (share * 100.0).round().clamp(0.0, MAX_CORES_IN_USE) as u8
+            (share * 100.0)
+                .round()
+                .clamp(0.0, MAX_CORES_IN_USE_HUNDREDTHS) as u8
         })
 }
 
@@ -126,9 +128,9 @@
 /// The datagram has an invalid length or another version, or its checks are too old or in the
 /// future.
 pub fn decode(datagram: &[u8], now: UnixNanoseconds) -> Result<Message, DecodeError> {
-    let results_bytes = datagram.len().saturating_sub(HEADER_BYTES);
-    if results_bytes == 0
-        || !results_bytes.is_multiple_of(RESULT_BYTES)
+    let result_bytes = datagram.len().saturating_sub(HEADER_BYTES);
+    if result_bytes == 0
+        || !result_bytes.is_multiple_of(RESULT_BYTES)
         || datagram.len() > MAX_DATAGRAM_BYTES
     {
         return Err(DecodeError::Length);
@@ -136,8 +138,8 @@
     if datagram[0] != VERSION {
         return Err(DecodeError::Version);
     }
-    let time_bits = u32::from_be_bytes([datagram[1], datagram[2], datagram[3], datagram[4]]);
-    let checked_at_ms = nearest_time_ms(now.as_millis(), time_bits);
+    let time_low_bits = u32::from_be_bytes([datagram[1], datagram[2], datagram[3], datagram[4]]);
+    let checked_at_ms = nearest_time_ms(now.as_millis(), time_low_bits);
     let checked_at = UnixNanoseconds::from_millis(checked_at_ms);
     if checked_at < now - MAX_AGE {
         return Err(DecodeError::Old);
@@ -155,20 +157,21 @@
     })
 }
 
-/// Returns the time nearest to `now_ms` whose lower 32 bits are `time_bits`.
-fn nearest_time_ms(now_ms: i64, time_bits: u32) -> i64 {
-    now_ms - i64::from((now_ms as u32).wrapping_sub(time_bits) as i32)
+/// Returns the time nearest to `now_ms` whose lower 32 bits are `time_low_bits`.
+fn nearest_time_ms(now_ms: i64, time_low_bits: u32) -> i64 {
+    now_ms - i64::from((now_ms as u32).wrapping_sub(time_low_bits) as i32)
 }
 
 /// Decodes the six bytes of one result.
 fn decode_result(bytes: &[u8], checked_at_ms: i64) -> HealthCheckResult {
-    let lag = u16::from_be_bytes([bytes[3], bytes[4]]);
-    let hundredths = bytes[5] & !PRIMARY_BIT;
+    let lag_ms = u16::from_be_bytes([bytes[3], bytes[4]]);
+    let cores_in_use_hundredths = bytes[5] & !PRIMARY_BIT;
     HealthCheckResult {
         host: HostId(u32::from_be_bytes([0, bytes[0], bytes[1], bytes[2]])),
-        position: (lag != UNKNOWN_LAG)
-            .then(|| UnixNanoseconds::from_millis(checked_at_ms - i64::from(lag))),
+        position: (lag_ms != UNKNOWN_LAG_MS)
+            .then(|| UnixNanoseconds::from_millis(checked_at_ms - i64::from(lag_ms))),
         primary: bytes[5] & PRIMARY_BIT != 0,
-        cores_in_use: (hundredths != UNKNOWN_CORES_IN_USE).then(|| f64::from(hundredths) / 100.0),
+        cores_in_use: (cores_in_use_hundredths != UNKNOWN_CORES_IN_USE)
+            .then(|| f64::from(cores_in_use_hundredths) / 100.0),
     }
 }
--- a/crates/gossip/tests/health_check_schedule.rs
+++ b/crates/gossip/tests/health_check_schedule.rs
@@ -20,13 +20,13 @@
 }
 
 /// Runs a fleet in steps of one millisecond. `is_alive` takes a gateway and the time in
-/// milliseconds; `reaches` takes the sender and the receiver of a notice. Returns the start times
-/// of the rounds of each group, in milliseconds.
+/// milliseconds; `is_delivered` takes the sender and the receiver of a notice. Returns the
+/// start times of the rounds of each group, in milliseconds.
 fn run_fleet(
     gateway_count: u32,
     duration_ms: i64,
     is_alive: impl Fn(u32, i64) -> bool,
-    reaches: impl Fn(u32, u32) -> bool,
+    is_delivered: impl Fn(u32, u32) -> bool,
 ) -> BTreeMap<i64, Vec<i64>> {
     let mut fleet: Vec<HealthCheckSchedule> = (0..gateway_count)
         .map(|gateway| HealthCheckSchedule::new(GatewayId(gateway), gateway_count))
@@ -40,7 +40,8 @@
         let now = EPOCH + now_ms * MS;
         for notice in notices.iter().filter(|notice| notice.arrives_at == now) {
             let sender = notice.gateway;
-            for receiver in (0..gateway_count).filter(|&to| to != sender.0 && reaches(sender.0, to))
+            for receiver in
+                (0..gateway_count).filter(|&to| to != sender.0 && is_delivered(sender.0, to))
             {
                 fleet[receiver as usize].record_round(notice.group, sender, notice.started_at);
             }
@@ -137,7 +138,7 @@
 fn next_round_is_that_of_the_group_which_is_due_first() {
     let mut schedule = HealthCheckSchedule::new(GatewayId(0), 3);
     schedule.update_groups(EPOCH, &GROUPS);
-    let alone = |group: i64, rounds: &[(i64, u32, i64)]| {
+    let single_group_due = |group: i64, rounds: &[(i64, u32, i64)]| {
         let mut schedule = HealthCheckSchedule::new(GatewayId(0), 3);
         schedule.update_groups(EPOCH, &[group]);
         for &(_, gateway, at_ms) in rounds.iter().filter(|round| round.0 == group) {
@@ -150,7 +151,7 @@
         let round = (step * 7 % 12, (step % 3) as u32, step * 37 % 900);
         rounds.push(round);
         schedule.record_round(round.0, GatewayId(round.1), EPOCH + round.2 * MS);
-        let due = GROUPS.map(|group| alone(group, &rounds));
+        let due = GROUPS.map(|group| single_group_due(group, &rounds));
         assert_eq!(
             schedule.next_due(),
             due.map(|due| due.0).into_iter().min().unwrap()
@@ -159,6 +160,6 @@
         assert_eq!(schedule.next_leased_due(|_| true), leased);
     }
     schedule.update_groups(EPOCH, &[3]);
-    assert_eq!(schedule.next_due(), alone(3, &rounds).0);
+    assert_eq!(schedule.next_due(), single_group_due(3, &rounds).0);
     assert_eq!(schedule.next_leased_due(|group| group != 3), None);
 }
--- a/tests/unit/service_clock.rs
+++ b/tests/unit/service_clock.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-const LONGEST: Duration = Duration::from_secs(60);
+const LONGEST_SLEEP: Duration = Duration::from_secs(60);
 
 #[test]
 fn clock_starts_at_zero_and_counts_whole_milliseconds() {
@@ -27,10 +27,10 @@
     assert_eq!(time_until(5_000), Duration::ZERO);
     assert_eq!(time_until(5_001), Duration::from_millis(1));
     assert_eq!(time_until(64_999), Duration::from_millis(59_999));
-    assert_eq!(time_until(65_000), LONGEST);
-    assert_eq!(time_until(65_001), LONGEST);
-    assert_eq!(time_until(u64::MAX), LONGEST);
-    assert_eq!(Duration::from(MAX_SLEEP), LONGEST);
+    assert_eq!(time_until(65_000), LONGEST_SLEEP);
+    assert_eq!(time_until(65_001), LONGEST_SLEEP);
+    assert_eq!(time_until(u64::MAX), LONGEST_SLEEP);
+    assert_eq!(Duration::from(MAX_SLEEP), LONGEST_SLEEP);
 }
 
 #[test]
@@ -58,6 +58,6 @@
     let before = clock.now();
     let due = clock.instant_of(Timestamp::MAX);
     let after = clock.now();
-    assert!(due >= clock.origin + Duration::from_millis(before.as_millis()) + LONGEST);
-    assert!(due <= clock.origin + Duration::from_millis(after.as_millis()) + LONGEST);
+    assert!(due >= clock.origin + Duration::from_millis(before.as_millis()) + LONGEST_SLEEP);
+    assert!(due <= clock.origin + Duration::from_millis(after.as_millis()) + LONGEST_SLEEP);
 }
