--- a/src/net/cluster/leases.rs
+++ b/src/net/cluster/leases.rs
@@ -1,7 +1,7 @@
-//! The shell of leases: feeds the core of `irisrouter_leases` with datagrams, the time and the view of membership, and
-//! carries out its actions.
+//! The lease service: passes datagrams, the current time and the membership view to the lease manager of
+//! `irisrouter_leases`, and carries out the manager's actions.
 //!
-//! Each change of holder is one log line and one count.
+//! Each acquisition or loss of a lease is logged in one line and counted.
 
 use crate::net::cluster::membership::MembershipService;
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
@@ -23,34 +23,35 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The longest time between two calls of [`LeaseService::advance`].
+/// Maximum time between two calls of [`LeaseService::advance`].
 const MAX_ADVANCE_INTERVAL: Milliseconds = Milliseconds(60_000);
 
-/// A task that one gateway does for the fleet.
+/// A task that one gateway performs for the whole fleet, under a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeasedTask {
-    /// The health checks of the set with this number.
+    /// The health checks of the hosts of a group.
     HealthChecks(GroupId),
-    /// The drain of a host, by the number under which all gateways know it.
+    /// The drain of a host.
     HostDrain(HostId),
-    /// The watch of the list of database hosts.
+    /// The watch of the endpoint list.
     EndpointWatch,
-    /// The failover plans for lost sites.
+    /// The planning of site failover.
     SiteFailover,
 }
 
 impl LeasedTask {
-    /// The number of the task, the same at every gateway. That of a set's health checks is the set's number.
+    /// Returns the id of the task, which is the same at every gateway. The health checks of a group have the id of the
+    /// group.
     const fn id(self) -> TaskId {
         match self {
-            Self::HealthChecks(GroupId(set)) => TaskId(set as u64),
+            Self::HealthChecks(GroupId(group)) => TaskId(group as u64),
             Self::HostDrain(host) => irisrouter_drain_coordination::task_id(host),
             Self::EndpointWatch => irisrouter_endpoint_watch::TASK_ID,
             Self::SiteFailover => irisrouter_site_failover::TASK_ID,
         }
     }
 
-    /// The task with this number.
+    /// Returns the task with this id.
     fn from_id(id: TaskId) -> Self {
         if id == irisrouter_endpoint_watch::TASK_ID {
             return Self::EndpointWatch;
@@ -58,7 +59,7 @@
         if id == irisrouter_site_failover::TASK_ID {
             return Self::SiteFailover;
         }
-        // The number of a drain has the host's number in its low half.
+        // The lower 32 bits of the id of a drain are the id of the host.
         let host = HostId(id.0 as u32);
         if irisrouter_drain_coordination::task_id(host) == id {
             return Self::HostDrain(host);
@@ -70,7 +71,7 @@
 impl fmt::Display for LeasedTask {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::HealthChecks(GroupId(set)) => write!(f, "the health checks of set {set}"),
+            Self::HealthChecks(GroupId(group)) => write!(f, "the health checks of set {group}"),
             Self::HostDrain(host) => write!(f, "the drain of host {host}"),
             Self::EndpointWatch => write!(f, "the endpoint watch"),
             Self::SiteFailover => write!(f, "the site failover plan"),
@@ -78,29 +79,29 @@
     }
 }
 
-/// The leases of one gateway.
+/// The lease service of one gateway.
 pub struct LeaseService {
     manager: RefCell<LeaseManager>,
     membership: Rc<MembershipService>,
-    start: Instant,
+    origin: Instant,
     outbox: Outbox,
     metrics: Rc<Metrics>,
-    /// Whether health checks carry the fencing token.
-    fence: bool,
+    /// Whether health checks carry the fencing token to the database hosts.
+    fencing_enabled: bool,
 }
 
 impl LeaseService {
-    /// A gateway that holds no lease. `gateways` are the addresses of the fleet by number, and `fence` says whether health
-    /// checks carry the fencing token.
+    /// Starts the service with no lease held. `gateways` has the address of each gateway, indexed by gateway id;
+    /// `fencing_enabled` is whether health checks carry the fencing token.
     ///
     /// # Errors
     ///
-    /// The length of a lease is out of its range.
+    /// Returns an error if the length of a lease is out of its allowed range.
     pub fn new(
         membership: Rc<MembershipService>,
         gateways: Vec<SocketAddr>,
         lease_ms: u64,
-        fence: bool,
+        fencing_enabled: bool,
         metrics: Rc<Metrics>,
     ) -> Result<Self, SettingsError> {
         let settings = Settings {
@@ -112,24 +113,25 @@
         Ok(Self {
             manager: RefCell::new(manager),
             membership,
-            start: Instant::now(),
+            origin: Instant::now(),
             outbox: Outbox::new(gateways),
             metrics,
-            fence,
+            fencing_enabled,
         })
     }
 
     fn now(&self) -> Timestamp {
-        let elapsed = self.start.elapsed().as_millis();
+        let elapsed = self.origin.elapsed().as_millis();
         Timestamp::from_millis(u64::try_from(elapsed).unwrap_or(u64::MAX))
     }
 
-    /// This process receives datagrams from now on.
+    /// Records that this process receives datagrams from now on. An older process of this gateway may have granted
+    /// leases until now, so this process grants none for the length of a lease.
     pub fn on_socket_opened(&self) {
         self.manager.borrow_mut().on_socket_opened(self.now());
     }
 
-    /// Processes a datagram of leases from gateway `from`; returns the datagrams to send.
+    /// Processes a lease datagram from gateway `from`. Returns the datagrams to send.
     pub fn receive(&self, datagram: &[u8], from: GatewayId) -> Vec<OutgoingDatagram> {
         let now = self.now();
         let mut manager = self.manager.borrow_mut();
@@ -143,7 +145,8 @@
         self.carry_out_actions(&mut manager)
     }
 
-    /// Updates the view of the fleet and the list of tasks, and does what is due; returns the datagrams to send.
+    /// Updates the view of the fleet and the list of tasks, and does the work that is due. Returns the datagrams to
+    /// send.
     pub fn advance(&self, tasks: impl Iterator<Item = LeasedTask>) -> Vec<OutgoingDatagram> {
         let now = self.now();
         let alive = self.membership.alive();
@@ -160,32 +163,33 @@
         self.carry_out_actions(&mut manager)
     }
 
-    /// When [`LeaseService::advance`] has work next.
+    /// Returns when [`LeaseService::advance`] is to be called next, at most [`MAX_ADVANCE_INTERVAL`] from now.
     pub fn due(&self) -> Instant {
         let now = self.now();
         let due = self.manager.borrow().next_due();
         let latest = now + MAX_ADVANCE_INTERVAL;
-        self.start + Duration::from(due.max(now).min(latest).since_origin())
+        self.origin + Duration::from(due.max(now).min(latest).since_origin())
     }
 
-    /// Whether this gateway is in the majority partition, as of the last [`LeaseService::advance`].
+    /// Returns whether this gateway was in the majority partition at the last call of [`LeaseService::advance`].
     pub fn in_majority(&self) -> bool {
         self.manager.borrow().side() == PartitionSide::Majority
     }
 
-    /// The fencing token under which this gateway may do a task now; none where it does not hold the lease. Ask before
-    /// each act, and do not store the answer.
+    /// Returns the fencing token under which this gateway may perform a task now, or `None` if it does not hold the
+    /// lease. Callers must ask again before each action instead of storing the result, because the lease may expire.
     pub fn fencing_token(&self, task: LeasedTask) -> Option<Epoch> {
         self.manager.borrow().fencing_token(self.now(), task.id())
     }
 
-    /// The fence that a health check of a group carries, where the operators turned fencing on.
+    /// Returns the fence that a health check of a group carries, or `None` if fencing is off.
     pub fn health_check_fence(&self, group: GroupId, epoch: Epoch) -> Option<Fence> {
         let task = LeasedTask::HealthChecks(group).id();
-        self.fence.then_some(Fence { task, epoch })
+        self.fencing_enabled.then_some(Fence { task, epoch })
     }
 
-    /// A database host refused the token of a set's health check; returns the datagrams to send.
+    /// Records that a database host rejected the fencing token of a group's health check, so that the lease is no
+    /// longer held. Returns the datagrams to send.
     pub fn token_rejected(&self, group: GroupId) -> Vec<OutgoingDatagram> {
         increment(&self.metrics.leases.fenced);
         let mut manager = self.manager.borrow_mut();
@@ -193,17 +197,18 @@
         self.carry_out_actions(&mut manager)
     }
 
-    /// Releases all leases, as the gateway stops; returns the datagrams to send.
+    /// Releases all leases because this gateway stops. Returns the datagrams to send.
     pub fn release_all(&self) -> Vec<OutgoingDatagram> {
         let mut manager = self.manager.borrow_mut();
         manager.release_all(self.now());
         self.carry_out_actions(&mut manager)
     }
 
-    /// The leases held, as one line: `set:epoch`, `drain-host:epoch`, `list:epoch` or `plan:epoch` for each.
+    /// Returns the held leases as one line for the console, with one entry for each lease: `group:epoch`,
+    /// `drain-host:epoch`, `list:epoch` or `plan:epoch`.
     pub fn status_line(&self) -> String {
         let held = self.manager.borrow().held_leases(self.now());
-        let tasks: Vec<String> = held.iter().map(console_entry).collect();
+        let tasks: Vec<String> = held.iter().map(format_held_lease).collect();
         format!("duties owned={} {}", tasks.len(), tasks.join(" "))
     }
 
@@ -217,7 +222,7 @@
                     change,
                 } => {
                     increment(&self.metrics.leases.acquired);
-                    let (task, reason) = (LeasedTask::from_id(task), reason(change));
+                    let (task, reason) = (LeasedTask::from_id(task), change_reason(change));
                     log!("leases: this gateway holds the lease on {task} under epoch {epoch} ({reason})");
                 }
                 Action::Lost {
@@ -226,7 +231,7 @@
                     change,
                 } => {
                     increment(&self.metrics.leases.lost);
-                    let (task, reason) = (LeasedTask::from_id(task), reason(change));
+                    let (task, reason) = (LeasedTask::from_id(task), change_reason(change));
                     log!("leases: this gateway no longer holds the lease on {task} under epoch {epoch} ({reason})");
                 }
             }
@@ -235,19 +240,19 @@
     }
 }
 
-/// One lease in the answer of the console.
-fn console_entry(held: &HeldLease) -> String {
+/// Formats one held lease for the console.
+fn format_held_lease(held: &HeldLease) -> String {
     let epoch = held.epoch;
     match LeasedTask::from_id(held.task) {
-        LeasedTask::HealthChecks(GroupId(set)) => format!("{set}:{epoch}"),
+        LeasedTask::HealthChecks(GroupId(group)) => format!("{group}:{epoch}"),
         LeasedTask::HostDrain(host) => format!("drain-{host}:{epoch}"),
         LeasedTask::EndpointWatch => format!("list:{epoch}"),
         LeasedTask::SiteFailover => format!("plan:{epoch}"),
     }
 }
 
-/// Why a lease was acquired or lost, as the log says it.
-fn reason(change: LeaseChange) -> String {
+/// Describes for the log why a lease was acquired or lost.
+fn change_reason(change: LeaseChange) -> String {
     match change {
         LeaseChange::Vacant => "it was vacant".into(),
         LeaseChange::TakenOver(previous) => format!(
--- a/src/net/cluster/shared_health_checks.rs
+++ b/src/net/cluster/shared_health_checks.rs
@@ -1,10 +1,9 @@
-//! Health checks shared between gateways: the rounds that this gateway runs for all, and the
-//! results of the others.
+//! Health checks shared between gateways: runs rounds of health checks on behalf of all gateways,
+//! and receives the results of the rounds of others.
 //!
 //! `irisrouter_gossip::health_check_schedule` decides when this gateway runs a round, and
-//! `irisrouter_gossip::message` is the format of the results. Results go to the router as events. A
-//! host that the gateway's own endpoint list does not name stays unknown, whatever other gateways
-//! send about it.
+//! `irisrouter_gossip::message` encodes the results. Results are posted to the router as events.
+//! Results for a host that is not in this gateway's own endpoint list are ignored.
 
 use crate::net::cluster::leases::{LeaseService, LeasedTask};
 use crate::net::cluster::membership::MembershipService;
@@ -30,11 +29,11 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{timeout_at, Instant};
 
-/// How long the results of a round wait for one another before they are sent. Without this limit
-/// one silent host would make the results of all the others old.
-const RESULT_WAIT: Duration = Duration::from_millis(25);
-/// How long this gateway waits before it looks for new groups, where no round is due earlier.
-const IDLE_WAIT: Duration = Duration::from_millis(500);
+/// How long the results of a round are collected before they are sent together. Without this limit,
+/// one unresponsive host would delay the results of all other hosts of the group.
+const RESULT_BATCH_INTERVAL: Duration = Duration::from_millis(25);
+/// Time until this gateway checks for new groups, if no round is due earlier.
+const GROUP_REFRESH_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Runs rounds of health checks, and shares their results with the other gateways.
 pub struct SharedHealthChecks {
@@ -53,12 +52,13 @@
 struct RoundLease {
     leases: Rc<LeaseService>,
     group: GroupId,
-    /// The fencing token that the lease had when the round started.
+    /// The fencing token of the lease at the start of the round.
     token: Epoch,
 }
 
 impl RoundLease {
-    /// The lease of a group's health checks; none where this gateway does not hold it.
+    /// Returns the lease on the health checks of a group, or `None` if this gateway does not hold
+    /// it.
     fn acquire(leases: &Rc<LeaseService>, group: GroupId) -> Option<Self> {
         let token = leases.fencing_token(LeasedTask::HealthChecks(group))?;
         Some(RoundLease {
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Whether this gateway still holds the lease with the same token.
+    /// Returns whether this gateway still holds the lease under the same fencing token.
     fn is_held(&self) -> bool {
         let task = LeasedTask::HealthChecks(self.group);
         self.leases.fencing_token(task) == Some(self.token)
@@ -76,7 +76,7 @@
 }
 
 impl SharedHealthChecks {
-    /// Health checks without groups, and without rounds so far.
+    /// Creates the shared health checks, without any groups.
     pub fn new(peers: &Peers, sender: PeerSender, dependencies: &Dependencies) -> Self {
         let gateway_count = peers.gateway_addresses.len() as u32;
         SharedHealthChecks {
@@ -93,7 +93,7 @@
 
     /// Replaces the groups whose hosts are checked.
     pub fn update_groups(&self, groups: &[GroupId]) {
-        let now = unix_nanoseconds(self.clock.now());
+        let now = to_unix_nanoseconds(self.clock.now());
         let group_numbers: Vec<i64> = groups.iter().map(|group| group.0).collect();
         let mut schedule = self.schedule.borrow_mut();
         schedule.update_groups(now, &group_numbers);
@@ -101,23 +101,23 @@
 
     /// Starts the rounds that are due, and returns the time until the next one is.
     ///
-    /// While this gateway is in the majority, those are the rounds of the groups whose lease it
-    /// holds. In a minority, and where leases are off, they are the rounds that the schedule
-    /// assigns by the results that arrived: when in doubt a group is checked by two gateways, never
-    /// by none.
+    /// While this gateway is in the majority partition, it runs the rounds of the groups whose
+    /// leases it holds. In a minority partition, or if leases are off, it runs the rounds that the
+    /// schedule assigns to it, which depend only on the results that arrived. Two gateways may then
+    /// check the same group, but no group is left unchecked.
     pub fn start_due_rounds(self: &Rc<Self>) -> Duration {
-        let now = unix_nanoseconds(self.clock.now());
+        let now = to_unix_nanoseconds(self.clock.now());
         let mut schedule = self.schedule.borrow_mut();
         let leases = self.leases.as_ref().filter(|leases| leases.in_majority());
         let (due_groups, next_due) = match leases {
             Some(leases) => {
-                let holds_lease = |group| {
+                let is_lease_held = |group| {
                     let task = LeasedTask::HealthChecks(GroupId(group));
                     leases.fencing_token(task).is_some()
                 };
                 (
-                    schedule.start_due_leased_rounds(now, holds_lease),
-                    schedule.next_leased_due(holds_lease),
+                    schedule.start_due_leased_rounds(now, is_lease_held),
+                    schedule.next_leased_due(is_lease_held),
                 )
             }
             None => (schedule.start_due_rounds(now), schedule.next_due()),
@@ -126,13 +126,13 @@
             let lease = leases.and_then(|leases| RoundLease::acquire(leases, group));
             spawn_local(Rc::clone(self).run_round(group, lease));
         }
-        next_due.map_or(IDLE_WAIT, |next_due| {
+        next_due.map_or(GROUP_REFRESH_INTERVAL, |next_due| {
             duration(TimeDelta::from_nanos((next_due - now).0))
         })
     }
 
-    /// Checks the hosts of a group, and shares the results. Under a lease it stops once the lease
-    /// is lost.
+    /// Checks the hosts of a group, and shares the results. A round under a lease starts no further
+    /// checks once the lease is lost.
     async fn run_round(self: Rc<Self>, group: GroupId, lease: Option<RoundLease>) {
         let mut checks = JoinSet::new();
         for member in self.upstream.members_in_service(group) {
@@ -140,29 +140,30 @@
             let lease = lease.clone();
             checks.spawn_local(async move { health_checks.check(member, lease).await });
         }
-        let mut deadline = Instant::now() + RESULT_WAIT;
+        let mut deadline = Instant::now() + RESULT_BATCH_INTERVAL;
         while !checks.is_empty() {
             let mut results = Vec::new();
             while let Ok(Some(result)) = timeout_at(deadline, checks.join_next()).await {
                 results.extend(result.ok().flatten());
             }
-            // Later results are shared as they arrive.
-            deadline = Instant::now() + RESULT_WAIT;
+            // Results that arrive after the first batch are sent in further batches of the same
+            // duration.
+            deadline = Instant::now() + RESULT_BATCH_INTERVAL;
             if !results.is_empty() {
-                self.share(&results);
+                self.broadcast_results(&results);
                 self.router.post(Event::SharedHealthChecks(results));
             }
         }
     }
 
-    /// Checks one host. Returns what it answered, if it did.
+    /// Checks one host. Returns the result if the host answered with a load report.
     async fn check(
         &self,
         member: MemberId,
         lease: Option<RoundLease>,
     ) -> Option<SharedHealthCheck> {
-        // A process that was suspended in the middle of a round continues the round when it
-        // resumes, though another gateway may hold the lease by then.
+        // If the process was suspended during the round, another gateway may hold the lease by the
+        // time that the round continues.
         if lease.as_ref().is_some_and(|lease| !lease.is_held()) {
             return None;
         }
@@ -191,10 +192,10 @@
         result
     }
 
-    /// Sends results to all gateways. A result that is lost only delays what the others know: they
-    /// run rounds of their own when none arrive.
-    fn share(&self, results: &[SharedHealthCheck]) {
-        let checked_at = unix_nanoseconds(self.clock.now());
+    /// Sends results to all gateways. Lost datagrams are not retransmitted: gateways that receive
+    /// no results run rounds of their own.
+    fn broadcast_results(&self, results: &[SharedHealthCheck]) {
+        let checked_at = to_unix_nanoseconds(self.clock.now());
         for chunk in results.chunks(message::MAX_RESULTS) {
             let results: Vec<HealthCheckResult> = chunk
                 .iter()
@@ -210,38 +211,38 @@
         }
     }
 
-    /// The result as it is sent; none for a host that has been removed, or that did not report its
-    /// role.
+    /// Converts a result to its message format. Returns `None` for a host that has been removed, or
+    /// that did not report its role.
     fn to_message_result(&self, result: &SharedHealthCheck) -> Option<HealthCheckResult> {
         Some(HealthCheckResult {
             host: self.upstream.fleet_host_id(result.member)?,
-            position: result.report.position.map(unix_nanoseconds),
+            position: result.report.position.map(to_unix_nanoseconds),
             primary: result.report.primary?,
             cores_in_use: result.report.cores_in_use,
         })
     }
 
-    /// Receives the results of gateway `gateway`, which sent them from address `from`.
+    /// Processes a datagram of health-check results that `gateway` sent from the address `from`.
     pub fn receive(&self, datagram: &[u8], gateway: GatewayId, from: SocketAddr) {
         let now = self.clock.now();
         if let Some(membership) = &self.membership {
             if !membership.accepts_from(gateway) {
-                // Results of a gateway that is held to be down stop counting at once.
+                // Results of a gateway that is down in the membership view are not used.
                 increment(&self.metrics.gossip.ignored);
                 return;
             }
         }
-        match message::decode(datagram, unix_nanoseconds(now)) {
-            Ok(message) => self.apply(&message, gateway, now),
+        match message::decode(datagram, to_unix_nanoseconds(now)) {
+            Ok(message) => self.apply_results(&message, gateway, now),
             Err(error) => ignore_datagram(&self.metrics, from, &error),
         }
     }
 
-    /// Hands results to the router, and records the rounds that they come from.
-    fn apply(&self, message: &Message, gateway: GatewayId, now: Timestamp) {
+    /// Posts results to the router, and records their rounds in the schedule.
+    fn apply_results(&self, message: &Message, gateway: GatewayId, now: Timestamp) {
         increment(&self.metrics.gossip.received);
-        // Clocks differ a little: no result counts as made in the future.
-        let checked_at = timestamp(message.checked_at).min(now);
+        // The clocks of gateways differ, so a time in the future is replaced by the current time.
+        let checked_at = to_timestamp(message.checked_at).min(now);
         let mut results = Vec::with_capacity(message.results.len());
         let mut last_group = None;
         for result in &message.results {
@@ -249,16 +250,17 @@
             else {
                 continue;
             };
-            // The results of a round are of one group.
+            // All results of one round are of the same group, so the round is recorded once.
             if last_group.replace(group) != Some(group) {
                 let mut schedule = self.schedule.borrow_mut();
-                schedule.record_round(group.0, gateway, unix_nanoseconds(checked_at));
+                schedule.record_round(group.0, gateway, to_unix_nanoseconds(checked_at));
             }
             results.push(SharedHealthCheck {
                 member,
                 at: checked_at,
                 report: LoadReport {
-                    position: (result.position).map(|position| timestamp(position).min(checked_at)),
+                    position: (result.position)
+                        .map(|position| to_timestamp(position).min(checked_at)),
                     primary: Some(result.primary),
                     in_flight: None,
                     cores_in_use: result.cores_in_use,
@@ -271,12 +273,12 @@
     }
 }
 
-/// An instant of the router's clock as the shared results carry it.
-fn unix_nanoseconds(instant: Timestamp) -> UnixNanoseconds {
+/// Converts an instant of the router's clock to the type used in messages.
+fn to_unix_nanoseconds(instant: Timestamp) -> UnixNanoseconds {
     UnixNanoseconds(instant.as_nanos())
 }
 
-/// An instant of a shared result on the router's clock: both count Unix time.
-fn timestamp(instant: UnixNanoseconds) -> Timestamp {
+/// Converts an instant from a message to the router's clock. Both count nanoseconds of Unix time.
+fn to_timestamp(instant: UnixNanoseconds) -> Timestamp {
     Timestamp::from_nanos(instant.0)
 }
