--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -160,7 +160,10 @@
 /// the requests in flight, or to [`LAST_CLOSE_TIMEOUT`] if that is longer. A request keeps the deadline of the class
 /// with which it arrived, even if the settings have changed since.
 async fn finish_open_requests(parts: &SharedParts, client_listener: &ClientListener) {
-    let time_limit = parts.classes.longest_deadline_in_use().max(LAST_CLOSE_TIMEOUT);
+    let time_limit = parts
+        .classes
+        .longest_deadline_in_use()
+        .max(LAST_CLOSE_TIMEOUT);
     let deadline = Instant::now() + time_limit;
     let has_work = || {
         client_listener.connection_limit.open_connections() > 0 || parts.router.open_requests() > 0
--- a/tests/unit/classes.rs
+++ b/tests/unit/classes.rs
@@ -37,7 +37,7 @@
     drop(order);
     let mut names = NameTable::default();
     for name in ["read", "new", "own"] {
-        names.number(name);
+        names.find_or_insert(name);
     }
     let removed_and_added = modified_settings(&|loaded| {
         loaded.classes = names.clone();
