--- a/benches/batch.rs
+++ b/benches/batch.rs
@@ -1,8 +1,8 @@
 //! Time that the router takes for one request, including the events and actions that follow it, as
 //! the numbers of members and gateways grow. No member fails.
 //!
-//! Compare the times within one run: the time per request should not grow with members of other
-//! groups.
+//! Compare the times for different numbers of members within one run: the time per request should
+//! not grow with the number of members of other groups.
 
 use criterion::{criterion_group, criterion_main, BatchSize, BenchmarkId, Criterion};
 use irisrouter::platform_settings::PlatformSettings;
@@ -14,10 +14,11 @@
 
 const MS: TimeDelta = TimeDelta::from_millis(1);
 const MEMBERS_PER_GROUP: u32 = 5;
-/// First id of the queued requests, and first id and number of the groups without members that they
-/// are for.
+/// Id of the first request that stays queued.
 const FIRST_QUEUED_REQUEST: u64 = 1 << 32;
+/// Id of the first group without members; the requests that stay queued are for these groups.
 const FIRST_EMPTY_GROUP: i64 = 1 << 32;
+/// Number of groups without members.
 const EMPTY_GROUP_COUNT: u64 = 267;
 
 fn settings(gateways: u32) -> Settings {
@@ -157,7 +158,7 @@
     }
 }
 
-/// A request for a group without members, so that it stays queued.
+/// Returns a request that stays queued because its group has no members.
 fn queued_request(number: u64, now: Timestamp) -> Event {
     Event::Request {
         id: RequestId(FIRST_QUEUED_REQUEST + number),
--- a/src/routing/action.rs
+++ b/src/routing/action.rs
@@ -15,7 +15,7 @@
         /// Timeout of the attempt.
         timeout: TimeDelta,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt in flight.
     CancelAttempt {
         /// The request.
         id: RequestId,
--- a/src/routing/admission.rs
+++ b/src/routing/admission.rs
@@ -10,20 +10,22 @@
 use super::settings::{DeduplicationScope, Freshness, Idempotency, StalenessCheck};
 use super::time::{TimeDelta, Timestamp};
 
-/// Reads that fall back to the primary are admitted in full while at least this share of its cores
-/// is idle, and in proportion to the idle cores below that.
+/// Share of the primary's cores that is reserved for its own work. Reads that fall back to the
+/// primary are admitted in full while at least this share of its cores is idle, and in proportion
+/// to the idle cores when fewer are idle.
 const PRIMARY_CORE_RESERVE: f64 = 0.3;
 /// Share of the load budget of a member in slow start that is used, because the load from other
 /// gateways can only be estimated.
 const SLOW_START_BUDGET_SHARE: f64 = 0.4;
-/// Maximum load of one member in slow start, as a multiple of its proportional part of the reads.
-/// It may exceed that part when the other members are full or behind.
+/// Maximum share of the reads that is assigned to one member in slow start, as a multiple of its
+/// share in proportion to its capacity. It is above 1 so that the member can take reads that the
+/// other members cannot take because they are full or lag behind.
 const SLOW_START_MAX_CONCENTRATION: f64 = 2.0;
 /// A queued request is given up, and no retry or hedged request is started, when fewer than this
 /// many usual latencies are left for an answer.
 const MIN_LATENCIES_LEFT: f64 = 1.5;
-/// Ticks before the client's deadline in which a queued request is given up and nothing is retried
-/// or hedged.
+/// Length in ticks of the margin before the client's deadline. Within the margin, queued requests
+/// are given up and no retry or hedged request is started.
 const DEADLINE_MARGIN_TICKS: i64 = 2;
 
 impl Router {
@@ -105,8 +107,8 @@
         }
     }
 
-    /// Rule 5: no stale reads. The member is known to be recent enough, or was primary when it last
-    /// reported its role, or checks the request itself.
+    /// Rule 5: no stale reads. The member is known to be recent enough, or is the primary by its
+    /// last known role, or checks the request itself.
     fn is_fresh_enough(&self, request: &Request, id: MemberId) -> bool {
         let is_checked = self.fleet.settings.staleness_check != StalenessCheck::None
             || self.class(request).freshness == Freshness::Write;
@@ -175,7 +177,8 @@
     }
 
     /// Returns whether the failover plan admits a request of this class. While a site is lost, the
-    /// plan rejects a share of each class at once, with a time to wait before the retry.
+    /// plan rejects a share of each class at once, and tells the clients how long to wait before
+    /// they retry.
     pub(super) fn failover_plan_admits(&mut self, class: usize) -> bool {
         match self.failover.admitted_share.get(class) {
             Some(&share) if share < 1.0 => self.rng.rand_float() < share,
@@ -255,9 +258,9 @@
     }
 
     /// Returns whether a member in slow start can take the request: the request is within the share
-    /// that the member's capacity allows, and does not belong to a backlog that is released later.
-    /// A read must also be assigned to this member and be short, because a long one would use up
-    /// the budget alone.
+    /// that the member's capacity allows, and is not held back as part of the backlog that built up
+    /// while the member was away. A read must also be assigned to this member and be short, because
+    /// a long one would use up the budget alone.
     fn slow_start_budget_admits(&self, id: MemberId, request: &Request) -> bool {
         let rules = &self.fleet.settings.rules;
         let total_warm_up_share = self.total_warm_up_share(id, request);
@@ -282,9 +285,9 @@
                 && self.fleet.is_short_enough_for_slow_start(request.class)
     }
 
-    /// Returns the sum of the capacity shares that this member and the members that can serve the
-    /// request instead have reached in slow start. Failed and draining members are left out,
-    /// because their part of the requests goes to the others too.
+    /// Returns the sum of the capacity shares reached in slow start by this member and by the
+    /// members that can serve the request in its place. Failed and draining members are left out,
+    /// because the requests that they would have served go to the remaining members as well.
     fn total_warm_up_share(&self, id: MemberId, request: &Request) -> f64 {
         let group = &self.fleet.groups[&self.fleet.member(id).identity.group];
         let is_available = |other: MemberId| {
@@ -296,9 +299,9 @@
             .sum::<f64>()
     }
 
-    /// Returns whether the request arrived before the member recovered and must still wait. A
-    /// backlog must not be sent all at once, so each of its requests is released at its own time in
-    /// the overload window that follows the recovery.
+    /// Returns whether the request arrived before the member recovered and must still wait. The
+    /// backlog that built up while the member was away must not be sent all at once, so each of its
+    /// requests is released at its own time within one `overload_window` after the recovery.
     fn is_backlog_to_hold(&self, id: MemberId, request: &Request, normalized_sample: f64) -> bool {
         let window = self.fleet.settings.rules.overload_window;
         let recovered_at = self.fleet.member(id).reachability.recovered_at;
@@ -307,8 +310,8 @@
     }
 
     /// Returns whether the member is one of those that the read is assigned to. Each read is
-    /// assigned to only some of the members in slow start, so that no single member gets all reads.
-    /// A primary is assigned fewer reads than a replica.
+    /// assigned to only some of the members in slow start, so that no single member, least of all
+    /// the primary, gets all reads. The primary is assigned fewer reads than a replica.
     fn is_assigned_to(
         &self,
         id: MemberId,
--- a/src/routing/concurrency_limit.rs
+++ b/src/routing/concurrency_limit.rs
@@ -12,13 +12,14 @@
 /// An answer is prompt, and raises the limit, if it takes less than the latency objective divided
 /// by this.
 const PROMPT_DIVISOR: i64 = 2;
-/// Increase of a limit of one by a prompt answer with a single gateway. The increase is in inverse
-/// proportion to the limit.
+/// Amount that a prompt answer adds to a limit of one if there is a single gateway. The amount is
+/// in inverse proportion to the limit.
 const INCREASE: f64 = 0.2;
 /// The increase is divided by the number of gateways to this power, because all gateways raise
 /// their limits on the same member.
 const INCREASE_SHARING_EXPONENT: f64 = 1.25;
-/// Increase of a shared limit of one by a prompt answer.
+/// Amount that a prompt answer adds to a shared limit of one. It is in inverse proportion to the
+/// limit.
 const SHARED_INCREASE: f64 = 0.8;
 /// Minimum limit of a member. Below one, requests are sent one at a time with pauses.
 const MIN_LIMIT: f64 = 0.1;
@@ -123,8 +124,9 @@
     }
 
     /// Lowers the limit after a late answer or a rejection by a member of this size, at which other
-    /// gateways had this many requests in flight. The limit stays if that was less than half of it,
-    /// because such a member's answer is no evidence of how many requests it can take.
+    /// gateways had this many requests in flight. If they had less than half of the limit in
+    /// flight, the limit is unchanged, because the answer is no evidence of how many requests the
+    /// member can take.
     pub(super) fn decrease(&mut self, in_flight_of_others: f64, size: f64) {
         if 2.0 * in_flight_of_others >= self.limit * size {
             self.limit = (self.limit * (1.0 - DECREASE)).max(MIN_SHARED_LIMIT);
--- a/src/routing/endpoint.rs
+++ b/src/routing/endpoint.rs
@@ -24,7 +24,7 @@
     pub group: GroupId,
     /// Zone of the member.
     pub zone: ZoneId,
-    /// Whether it is in service.
+    /// Whether the member is in service, draining or removed.
     pub state: EndpointState,
     /// Whether the list names the member as the primary.
     pub primary: bool,
--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -14,7 +14,8 @@
     pub admitted_share: Vec<f64>,
     /// Recovery ramps of the zones that have one.
     pub recovery_ramps: Vec<RecoveryRamp>,
-    /// Time after which rejected clients should retry; it is spread up to twice its length.
+    /// Time after which rejected clients should retry. Each client is given a random time between
+    /// this and twice this.
     pub retry_after: Option<TimeDelta>,
 }
 
@@ -23,7 +24,7 @@
 pub struct RecoveryRamp {
     /// The zone.
     pub zone: ZoneId,
-    /// Share of its capacity up to which the zone may be used now, 0 to 1.
+    /// Share of the zone's capacity that may be used now, 0 to 1.
     pub share: f64,
 }
 
@@ -94,7 +95,8 @@
         /// Whether the client marks the request as a retry.
         retry: bool,
     },
-    /// A member has started to stream its answer to the client.
+    /// A member has started to stream its answer to the client. The client now depends on this
+    /// attempt, and no other one can answer the request.
     Streaming {
         /// The request.
         id: RequestId,
@@ -127,7 +129,7 @@
     HealthChecked {
         /// The member.
         member: MemberId,
-        /// Outcome of the attempt.
+        /// Outcome of the health check.
         outcome: Outcome,
         /// Time from the sending of the health check to its end.
         elapsed: TimeDelta,
@@ -147,6 +149,6 @@
         /// For each new class, the index of the old class whose measurements it takes over.
         measurements_from: Vec<Option<usize>>,
     },
-    /// The timer that the router had set fired.
+    /// The timer that the router set has fired.
     TimerFired,
 }
--- a/src/routing/fleet.rs
+++ b/src/routing/fleet.rs
@@ -27,7 +27,7 @@
 /// Time for which a report of cores in use is recent, in usual latencies of the shortest class.
 const CORES_REPORT_LIFETIME: f64 = 12.0;
 /// A class is too long for a member in slow start if its usual latency is above the limit of short
-/// classes divided by this. It is lower than that limit because slow links lengthen all latencies.
+/// classes divided by this. The limit is divided because slow links lengthen all latencies.
 const SLOW_START_LONG_DIVISOR: f64 = 2.0;
 /// Margin that is added to a session's position, because commit times are rounded up and positions
 /// down to the millisecond.
@@ -57,8 +57,8 @@
     pub(super) load: FleetLoad,
     /// Limit on the requests of all gateways in flight at a member, for large fleets.
     pub(super) shared_limit: SharedConcurrencyLimit,
-    /// Last commit of each session, if session reads do not carry the age of their session's last
-    /// write.
+    /// Position of the last commit of each session. It is recorded only if session reads do not
+    /// carry the age of their session's last write.
     pub(super) session_commits: HashMap<SessionId, Timestamp>,
 }
 
@@ -175,8 +175,8 @@
         available && !member.service.draining
     }
 
-    /// Returns whether the member is suspected: connections to it fail, or it has been silent for
-    /// longer than is usual.
+    /// Returns whether the member is suspected: it could not be reached lately, or it has been
+    /// silent for longer than its `silence_tolerance`.
     pub(super) fn is_suspected(&self, id: MemberId) -> bool {
         self.member(id).reachability.is_suspected(self.now)
     }
@@ -230,8 +230,8 @@
     pub(super) fn relative_load(&self, id: MemberId) -> f64 {
         let member = self.member(id);
         let usual = self.load.usual_in_flight * member.identity.size;
-        let own = f64::from(member.load.in_flight);
-        (1.0 + own + self.in_flight_of_others(id)) / (1.0 + usual)
+        let own_in_flight = f64::from(member.load.in_flight);
+        (1.0 + own_in_flight + self.in_flight_of_others(id)) / (1.0 + usual)
     }
 
     /// Returns the estimated number of other gateways' requests in flight at the member. It starts
@@ -242,9 +242,9 @@
         usual + (member.load.in_flight_of_others - usual) * (-self.load_report_age(id)).exp()
     }
 
-    /// Returns the same estimate, but at least the number in the last report unless that is too
-    /// old, so that a member that has recently reported to be full counts as full until it reports
-    /// otherwise.
+    /// Returns the estimate of [`Fleet::in_flight_of_others`], but at least the number in the last
+    /// report unless that report is too old. A member that has recently reported that it is full
+    /// therefore counts as full until it reports otherwise.
     pub(super) fn conservative_in_flight_of_others(&self, id: MemberId) -> f64 {
         let load = &self.member(id).load;
         let lifetime = FULL_REPORT_LIFETIME * self.settings.limits.connect_timeout;
--- a/src/routing/fleet_updates.rs
+++ b/src/routing/fleet_updates.rs
@@ -47,7 +47,7 @@
     }
 
     /// Applies the endpoint list, or changes to it. Changes affect only the members that they list,
-    /// and the groups of these.
+    /// and those members' groups.
     pub(super) fn apply_endpoint_list(&mut self, complete: bool, endpoints: &[Endpoint]) {
         if complete {
             for member in self.members.values_mut() {
@@ -111,10 +111,10 @@
     /// Drops removed members where nothing is in flight. A member that was removed without a drain
     /// is dropped only when its replacements have had time to warm up.
     fn forget_removed_members(&mut self) {
-        let long_ago = self.now - 2 * self.settings.rules.warm_up_time;
+        let removal_cutoff = self.now - 2 * self.settings.rules.warm_up_time;
         let is_forgotten = |id: &MemberId| {
             let member = self.member(*id);
-            !self.accepts_requests(member) && member.can_be_forgotten(long_ago)
+            !self.accepts_requests(member) && member.can_be_forgotten(removal_cutoff)
         };
         let removed = self.removed_members.iter().copied();
         let forgotten: Vec<MemberId> = removed.filter(is_forgotten).collect();
@@ -267,9 +267,9 @@
         }
     }
 
-    /// Applies the rejection of a request that the member found unsuitable. After a write, the
-    /// member counts as a replica, whatever its last known role; after a read, its lag counts as
-    /// larger than the read allows.
+    /// Applies a member's rejection of a request for which it is unsuitable. If the request was a
+    /// write, the member counts as a replica, whatever its last known role. If it was a read, the
+    /// member's lag counts as larger than the read allows.
     fn rejected_as_unsuitable(&mut self, result: &AttemptResult) {
         let now = self.now;
         let known_lag = self.lag(result.member);
@@ -316,7 +316,7 @@
         if self.settings.staleness_check == StalenessCheck::None {
             return;
         }
-        // The results of one round belong to the same group, which is updated only once.
+        // The results of one round belong to the same group, which is updated only once per round.
         let mut last = None;
         for result in results {
             let group = self.apply_shared_health_check(result);
--- a/src/routing/group.rs
+++ b/src/routing/group.rs
@@ -34,8 +34,8 @@
     }
 
     /// Returns the distance on the unit circle from a member's point forward to `position`, which
-    /// is from 0 to 1. The members' points are evenly spaced, so that members that each take the
-    /// positions that follow their own point take different requests.
+    /// is from 0 to 1. The members' points are evenly spaced. If each member takes the positions
+    /// just after its own point, the members take different requests.
     pub(super) fn distance_from(&self, member: MemberId, position: f64) -> f64 {
         let index = self.members.iter().position(|&other| other == member);
         let point = index.unwrap_or(0) as f64 / self.full_size.max(1) as f64;
--- a/src/routing/health_check.rs
+++ b/src/routing/health_check.rs
@@ -17,14 +17,15 @@
 const PERIODIC_PER_REQUEST: f64 = 0.1;
 /// Maximum number of health checks in the budget, of each kind.
 const BUDGET_CAPACITY: f64 = 12.0;
-/// Number of checks of a possible new primary per connect timeout.
+/// Maximum number of checks of a possible new primary per connect timeout.
 const PRIMARY_SEARCHES_PER_TIMEOUT: i64 = 5;
 /// Maximum number of checks of a member's position or load per connect timeout.
 const POSITION_CHECKS_PER_TIMEOUT: i64 = 4;
 /// Number of connect timeouts for which shared health checks are recent.
 const SHARED_CHECK_LIFETIME: i64 = 4;
-/// Interval between checks of a member that is not suspected, in connect timeouts. It is also how
-/// long observations of a member count. Several failed connections fit into that time.
+/// Interval between checks of a member that is not suspected, in connect timeouts. It is also the
+/// time for which observations of a member count, and is long enough for several connections to
+/// fail within it.
 pub(super) const OBSERVATION_LIFETIME: f64 = 8.0;
 
 /// State of one member's health checks.
@@ -54,16 +55,17 @@
 pub(super) struct UnmetNeeds {
     /// Whether a request waits for a primary that answers.
     pub(super) primary: bool,
-    /// Maximum age of the data that a replica must confirm; zero if no request waits for that.
+    /// Largest data age that any waiting request accepts from a replica, which a health check must
+    /// confirm; zero if no request waits for that.
     pub(super) replica_position_age: TimeDelta,
-    /// How long a request has waited for a report that the primary has capacity; zero if none waits
-    /// for that.
+    /// Shortest time that any request has waited for a report of the primary's load, which must
+    /// show whether the primary has capacity; zero if no request waits for that.
     pub(super) primary_load_wait: TimeDelta,
 }
 
 impl UnmetNeeds {
     /// Adds a request that has waited this long for a report of the primary's load. The shortest
-    /// wait is kept, because the interval of these health checks grows with it.
+    /// wait is kept, because the interval between these health checks grows with it.
     pub(super) fn add_primary_load_wait(&mut self, waited: TimeDelta) {
         if self.primary_load_wait == TimeDelta::ZERO || waited < self.primary_load_wait {
             self.primary_load_wait = waited;
@@ -85,7 +87,8 @@
 }
 
 impl GroupHealthChecks {
-    /// Clears the needs before selection runs again and collects them anew.
+    /// Clears the needs, which selection collects anew when it runs again. Ends the search for a
+    /// primary if no request has needed one since the last call.
     pub(super) fn reset_needs(&mut self) {
         if !self.needs.primary {
             self.primary_search_started_at = None;
@@ -190,9 +193,9 @@
         SHARED_CHECK_LIFETIME * self.settings.limits.connect_timeout
     }
 
-    /// Returns at most `limit` members that are due for a periodic health check: suspected members
-    /// first, and in either group those checked longest ago first. Suspected members are due after
-    /// each connect timeout, the others less often.
+    /// Returns at most `limit` members that are due for a periodic health check. Suspected members
+    /// precede the others, and among each of the two, those that were checked longest ago come
+    /// first. Suspected members are due after each connect timeout, the others less often.
     pub(super) fn periodic_health_checks_due(&mut self, limit: usize) -> Vec<MemberId> {
         self.requeue_groups_without_shared_checks();
         let timeout = self.settings.limits.connect_timeout;
@@ -219,8 +222,8 @@
 
     /// Puts the members of groups whose shared results are no longer recent back into the queue.
     fn requeue_groups_without_shared_checks(&mut self) {
-        let recent = self.now - self.shared_check_lifetime();
-        while let Some(group) = self.health_check_queue.take_outdated_group(recent) {
+        let newest_outdated = self.now - self.shared_check_lifetime();
+        while let Some(group) = self.health_check_queue.take_outdated_group(newest_outdated) {
             for &id in &self.groups[&group].members {
                 let sent_at = self.members[&id].health_check.sent_at;
                 self.health_check_queue.insert(id, sent_at);
@@ -280,7 +283,7 @@
         let group = &self.groups[&group_id];
         let needed_age = group.health_checks.needs.replica_position_age;
         let primary = self.primary(group_id);
-        let may_prove = |id: MemberId| {
+        let may_confirm = |id: MemberId| {
             let due = self.member(id).health_check.is_due(self.now, interval);
             due && needed_age >= self.lag(id)
                 && Some(id) != primary
@@ -288,7 +291,7 @@
                 && !self.is_suspected(id)
         };
         (group.members.iter().copied())
-            .filter(|&id| may_prove(id))
+            .filter(|&id| may_confirm(id))
             .collect()
     }
 
--- a/src/routing/health_check_queue.rs
+++ b/src/routing/health_check_queue.rs
@@ -98,11 +98,12 @@
             .contains(&SharedGroup { obtained_at, id })
     }
 
-    /// Takes the next group whose last shared result was obtained at `recent` or earlier.
-    pub(super) fn take_outdated_group(&mut self, recent: Timestamp) -> Option<GroupId> {
+    /// Takes the next group whose last shared result was obtained at `newest_outdated` or
+    /// earlier.
+    pub(super) fn take_outdated_group(&mut self, newest_outdated: Timestamp) -> Option<GroupId> {
         self.shared_groups
             .first()
-            .filter(|group| group.obtained_at <= recent)?;
+            .filter(|group| group.obtained_at <= newest_outdated)?;
         self.shared_groups.pop_first().map(|group| group.id)
     }
 
--- a/src/routing/load.rs
+++ b/src/routing/load.rs
@@ -3,14 +3,17 @@
 use super::latency::FLEET_SAMPLE_WEIGHT;
 use super::time::Timestamp;
 
-/// The gateway sheds a member's load while the share of cores in use there is above this one.
+/// Share of a member's cores in use above which each report raises the share of its requests that
+/// is shed, and below which each report lowers it.
 const SHED_THRESHOLD: f64 = 0.8;
-/// Change of the shed share with each report, per unit of cores in use above `SHED_THRESHOLD`.
+/// Change of the shed share with each report, as a multiple of the difference between the share of
+/// cores in use and `SHED_THRESHOLD`.
 const SHED_GAIN: f64 = 0.15;
 /// Maximum share of a member's requests that is shed.
 const MAX_SHED_SHARE: f64 = 0.9;
-/// The number of requests in flight is estimated from the share `u` of cores in use as u /
-/// (`SATURATION` - u), which stays finite at full use.
+/// Constant in the estimate `u / (SATURATION - u)` of the requests in flight at a member of size 1,
+/// where `u` is its share of cores in use. It is above 1, so that the estimate stays finite at full
+/// use.
 const SATURATION: f64 = 1.1;
 /// Lower bound of the size by which a member's load is divided, because an endpoint list may give a
 /// size of 0.
@@ -23,7 +26,8 @@
     pub(super) in_flight: u32,
     /// Number of other gateways' requests in flight at the member, by its last report.
     pub(super) in_flight_of_others: f64,
-    /// When the last load report was made or arrived.
+    /// When the last load report arrived or, for a shared health check, when its result was
+    /// obtained.
     pub(super) reported_at: Timestamp,
     /// Share of the member's cores in use by the last report, 0 to 1.
     pub(super) cores_in_use: f64,
--- a/src/routing/member.rs
+++ b/src/routing/member.rs
@@ -110,10 +110,10 @@
     }
 
     /// Returns whether the member's state may be dropped: it is removed, no request or health check
-    /// is in flight there, and it was drained or was removed before `long_ago`.
-    pub(super) fn can_be_forgotten(&self, long_ago: Timestamp) -> bool {
+    /// is in flight there, and it was drained or was removed before `removal_cutoff`.
+    pub(super) fn can_be_forgotten(&self, removal_cutoff: Timestamp) -> bool {
         let idle = self.load.in_flight == 0 && !self.health_check.outstanding;
-        let settled = self.service.draining || self.service.removed_at < long_ago;
+        let settled = self.service.draining || self.service.removed_at < removal_cutoff;
         self.service.removed && idle && settled
     }
 
--- a/src/routing/mod.rs
+++ b/src/routing/mod.rs
@@ -1,4 +1,5 @@
-//! Routing decisions: which member serves a request, whether it is retried, and what is rejected.
+//! Routing decisions: which member serves a request, and whether the request is retried or
+//! rejected.
 //!
 //! [`Router`] is a state machine without I/O and without a clock: its inputs are [`Event`]s and the
 //! current time, its outputs are [`Action`]s. The same router runs in the gateway, in the
--- a/src/routing/outlier.rs
+++ b/src/routing/outlier.rs
@@ -11,8 +11,8 @@
 const SILENCE_TOLERANCE: f64 = 4.0;
 /// Maximum number of times that the suspicion time doubles; it does so with each further failure.
 const MAX_SUSPICION_DOUBLINGS: u32 = 3;
-/// A member is ejected when an error raises the EWMA of its error rate above this: after three
-/// errors in a row.
+/// A member is ejected if it answers with an error and the EWMA of its error rate is then above
+/// this. Three errors in a row are enough.
 const EJECTION_ERROR_RATE: f64 = 0.45;
 /// Maximum number of times that the ejection time doubles.
 const MAX_EJECTION_DOUBLINGS: u32 = 4;
@@ -30,7 +30,8 @@
     pub(super) consecutive_failures: u32,
     /// Time until which the member is suspected after failures to reach it.
     pub(super) suspected_until: Timestamp,
-    /// When the member first answered after failures to reach it.
+    /// When the member last recovered, that is, gave its first answer after failures to reach it or
+    /// its first answer of all.
     pub(super) recovered_at: Timestamp,
 }
 
@@ -50,7 +51,8 @@
         self.silence_tolerance = self.silence_tolerance.max(tolerance);
     }
 
-    /// Records that an attempt has ended while this many others are still in flight.
+    /// Records that an attempt at the member has ended. `in_flight` is the number of attempts that
+    /// are still in flight there.
     pub(super) fn attempt_ended(&mut self, outcome: Outcome, in_flight: u32, now: Timestamp) {
         let answered = matches!(
             outcome,
@@ -86,8 +88,8 @@
         self.suspected_until > now || self.silent_since.is_some()
     }
 
-    /// Returns whether the member is suspected: connections to it fail, or it has been silent for
-    /// longer than is usual.
+    /// Returns whether the member is suspected: it could not be reached lately, or it has been
+    /// silent for longer than its `silence_tolerance`.
     pub(super) fn is_suspected(&self, now: Timestamp) -> bool {
         let silent = |since: Timestamp| now - since > self.silence_tolerance;
         self.suspected_until > now || self.silent_since.is_some_and(silent)
--- a/src/routing/replication.rs
+++ b/src/routing/replication.rs
@@ -3,8 +3,8 @@
 use super::endpoint::{LoadReport, ReplicationStatus, Role};
 use super::time::{TimeDelta, Timestamp};
 
-/// Time that is stored for a primary role from the endpoint list. It is earlier than any
-/// observation, because the list is late and any observation outweighs it.
+/// Value of `last_primary_at` for a member that only the endpoint list names as the primary. It is
+/// earlier than any observation, because the list is late and any observation outweighs it.
 const PRIMARY_BY_ENDPOINT_LIST: Timestamp = Timestamp::from_nanos(1);
 
 /// Role and replication position of a member.
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Applies the status that an answer contains. The time of a commit that the primary has
-    /// answered is a position that the member has reached.
+    /// Applies the status that an answer contains. In the primary's answer to a write, the position
+    /// is the time of the commit, which the member has therefore reached.
     pub(super) fn apply_status(&mut self, status: ReplicationStatus, now: Timestamp) {
         match status.role {
             Role::Primary => self.last_primary_at = self.last_primary_at.max(now),
@@ -73,8 +73,9 @@
     /// Applies the role and the position of a report that was obtained at `obtained_at`. Returns
     /// whether the position is at least the last known one.
     ///
-    /// A primary's position is the time of its report, and positions never go back. This orders
-    /// reports relative to each other and to answers, however late they arrive.
+    /// A primary's position is the time of its report, and positions never go back. Reports can
+    /// therefore be ordered by position, relative to each other and to answers, however late they
+    /// arrive.
     pub(super) fn apply_report(&mut self, report: LoadReport, obtained_at: Timestamp) -> bool {
         let Some(position) = report.position else {
             return false;
--- a/src/routing/request.rs
+++ b/src/routing/request.rs
@@ -46,7 +46,7 @@
     pub(super) session_position: Timestamp,
     /// Whether the request is waiting in a queue for a member.
     pub(super) queued: bool,
-    /// Time at which the request is given up if it is still queued.
+    /// Time at which the request is given up at the latest if it is still queued.
     pub(super) queued_until: Timestamp,
     /// Whether the final answer has been given.
     pub(super) answered: bool,
--- a/src/routing/retry.rs
+++ b/src/routing/retry.rs
@@ -61,11 +61,11 @@
     }
 
     /// Returns the time until which a request may be queued. A read that no member has received is
-    /// rejected early, because a client that is rejected late has waited for nothing and has too
-    /// little time left to retry. If that limit has already passed, a rejection before the deadline
-    /// does not help the client, so the read stays queued for as long as it can be answered in
-    /// time. A write always stays queued that long, because an election outlasts any shorter limit,
-    /// and all writes would fail.
+    /// rejected after `UNSENT_READ_QUEUE_SHARE` of its client's wait, because a client that is
+    /// rejected late has waited for nothing and has too little time left to retry. Once that time
+    /// has passed, the client has too little time left whenever it is rejected, so the read stays
+    /// queued for as long as it can be answered in time. A write always stays queued that long,
+    /// because an election outlasts any shorter limit, and all writes would fail.
     fn queued_until(&self, request: &Request) -> Timestamp {
         let is_read = self.class(request).freshness != Freshness::Write;
         let client_wait = (request.deadline - request.arrived_at).as_nanos_f64();
@@ -89,8 +89,8 @@
             .review_at(time.max(self.fleet.now + TimeDelta::NANOSECOND), id);
     }
 
-    /// Processes the requests whose review is due: queued requests are given up when their time has
-    /// come, and requests in flight may be hedged.
+    /// Processes the requests whose review is due: queued requests are given up once `give_up_at`
+    /// has passed, and requests in flight may be hedged.
     pub(super) fn review_requests(&mut self) {
         while let Some(id) = self.requests.take_due_review(self.fleet.now) {
             let Some(request) = self.requests.unanswered(id) else {
--- a/src/routing/selection.rs
+++ b/src/routing/selection.rs
@@ -1,8 +1,9 @@
 //! Selection: chooses the member that a request is sent to.
 //!
-//! The common path is secondaryPreferred with bounded staleness: selection chooses at random among
-//! the replicas that are recent enough and within the latency window of the best one, and falls
-//! back to the primary. If the primary cannot take the request either, it stays queued.
+//! The common path is the read preference secondaryPreferred with bounded staleness: selection
+//! chooses at random among the replicas that are recent enough and within the latency window of the
+//! best one, and falls back to the primary. If the primary cannot take the request either, the
+//! request stays queued.
 
 use super::fleet::Fleet;
 use super::identifiers::{GroupId, MemberId, RequestId};
@@ -170,7 +171,8 @@
             .filter(|&id| self.has_required_position(id, request) && !self.fleet.is_suspected(id))
             .collect();
         // Where gateways share health checks, only the few replicas that were checked last have a
-        // confirmed position, and all gateways would choose the same ones.
+        // confirmed position, and all gateways would choose the same ones. Replicas that are only
+        // probably recent enough are therefore accepted, too.
         let shared = self.fleet.has_shared_health_checks(request.group);
         let checked = self.fleet.settings.staleness_check != StalenessCheck::None;
         if checked && (suitable.is_empty() || shared) {
@@ -252,9 +254,10 @@
         })
     }
 
-    /// Selects a member for a read that no suitable replica can take. The primary takes it while it
-    /// has capacity beyond its own work. If the primary cannot take it and all replicas are
-    /// suspected, a suspected member is tried, because otherwise no request would be served.
+    /// Selects a member for a read that no suitable replica can take. The primary is selected if it
+    /// has capacity beyond its own work and is neither suspected nor ejected. Otherwise, if all
+    /// replicas are suspected, one of them or else the primary is tried, because otherwise no
+    /// request would be served.
     fn fall_back(&self, candidates: &Candidates) -> Option<MemberId> {
         let request = candidates.request;
         let primary = self.fall_back_to_primary(candidates);
@@ -294,8 +297,8 @@
     }
 
     /// Chooses one of these members at random, within the latency window of the best one and
-    /// preferably in the gateway's own zone. The weights favour members with a large size and
-    /// little load.
+    /// preferably in the gateway's own zone. The weights favour members with a large size, little
+    /// load and a low latency.
     pub(super) fn choose_weighted(&self, members: &[MemberId]) -> Option<MemberId> {
         let fleet = &self.fleet;
         let best = (members.iter())
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -6,7 +6,7 @@
 /// How recent the data behind an answer must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
-    /// Data of any age.
+    /// Data of any age, so that any member can serve the request.
     Any,
     /// Data that are no older than this when the request is sent.
     BoundedStaleness(TimeDelta),
--- a/src/routing/snapshot.rs
+++ b/src/routing/snapshot.rs
@@ -89,8 +89,8 @@
         self.class_answers = class_answers;
     }
 
-    /// Merges the snapshot into the state of this fleet, for members whose process is the same and
-    /// for classes.
+    /// Merges the snapshot into the state of this fleet: the members whose process is still the
+    /// same, and the classes.
     pub(super) fn merge_into(&self, fleet: &mut Fleet) {
         let now = fleet.now;
         for SnapshotMember {
--- a/src/routing/time.rs
+++ b/src/routing/time.rs
@@ -11,7 +11,8 @@
 /// Nanoseconds in a second.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// A point on the batch clock, in nanoseconds since the clock's origin.
+/// A point in time on the clock that `Router::batch` is called with, in nanoseconds since the
+/// clock's origin.
 ///
 /// A replication position is a timestamp, too: the member has applied all commits up to then.
 #[derive(
@@ -47,7 +48,7 @@
         self.0
     }
 
-    /// Returns the timestamp later by this length of time, or the earliest or latest one on
+    /// Returns the timestamp that is later by this length of time, or the earliest or latest one on
     /// overflow.
     #[must_use]
     pub const fn saturating_add(self, length: TimeDelta) -> Self {
--- a/src/routing/timer.rs
+++ b/src/routing/timer.rs
@@ -7,7 +7,7 @@
 /// Ticks until the timer fires while requests are queued.
 const TICKS_WHILE_QUEUED: i64 = 2;
 
-/// The single timer that is set at a time.
+/// State of the router's timer, of which at most one is set at a time.
 #[derive(Debug, Default)]
 pub(super) struct TimerSchedule {
     fires_at: Timestamp,
@@ -27,9 +27,9 @@
 }
 
 impl Router {
-    /// Sets the timer: shortly ahead while requests are queued, otherwise for the next review. Only
-    /// one timer is set at a time, and an idle router sets none, because with hundreds of gateways,
-    /// timers that always run would outnumber the requests.
+    /// Sets the timer: to fire within a few ticks while requests are queued, otherwise at the next
+    /// review. Only one timer is set at a time, and an idle router sets none, because with hundreds
+    /// of gateways, timers that always run would outnumber the requests.
     pub(super) fn set_timer(&mut self) {
         let now = self.fleet.now;
         let soon = now + self.fleet.settings.tick * TICKS_WHILE_QUEUED;
