--- a/src/routing/event.rs
+++ b/src/routing/event.rs
@@ -15,7 +15,7 @@
     /// Recovery ramps of the zones that have one.
     pub recovery_ramps: Vec<RecoveryRamp>,
     /// Time after which rejected clients should retry. Each client is given a random time between
-    /// this and twice this.
+    /// this and twice this, limited to `max_retry_after`.
     pub retry_after: Option<TimeDelta>,
 }
 
--- a/src/routing/outlier.rs
+++ b/src/routing/outlier.rs
@@ -30,8 +30,8 @@
     pub(super) consecutive_failures: u32,
     /// Time until which the member is suspected after failures to reach it.
     pub(super) suspected_until: Timestamp,
-    /// When the member last recovered, that is, gave its first answer after failures to reach it or
-    /// its first answer of all.
+    /// When the member last recovered: the time of its first answer after failures to reach it, or
+    /// of the first answer ever. A restart of its process counts as an answer.
     pub(super) recovered_at: Timestamp,
 }
 
