--- a/crates/membership/src/action.rs
+++ b/crates/membership/src/action.rs
@@ -1,10 +1,10 @@
-//! What the core asks its owner to do.
+//! The actions that the core requests from its owner.
 
 use crate::serial_number::Incarnation;
 use crate::view::LivenessChange;
 use irisrouter_cluster_types::{GatewayId, GatewayProcess};
 
-/// One thing that the owner of the core is to do.
+/// An action for the owner of the core to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send this datagram (at most 256 bytes) to a gateway.
@@ -14,10 +14,10 @@
         /// The datagram.
         bytes: Vec<u8>,
     },
-    /// The liveness of a member changed in the view: log it, count it.
+    /// Log and count this change of a member's liveness in the view.
     Changed(LivenessChange),
-    /// This process learnt that it was held down, and continues in this incarnation.
+    /// Log and count that this process refuted a report about itself; it continues in this incarnation.
     Refuted(Incarnation),
-    /// A later generation of this gateway was known to the fleet; this process continues as this one.
+    /// Log that the fleet knew a later generation of this gateway; this process continues as the given one.
     Renewed(GatewayProcess),
 }
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -1,19 +1,20 @@
 //! The membership datagram: a versioned, bounded binary format.
 //!
 //! ```text
-//! 0        magic and version: 0xA2 (the findings of `irisrouter-gossip` begin with 0x01, so the two can share a socket)
+//! 0        magic and version: 0xA2 (datagrams of `irisrouter-gossip` begin with 0x01, so both can share a socket)
 //! 1..7     source: number (u32) and generation (u16), big-endian
 //! 7..9     the source's incarnation (u16)
 //! 9..15    destination
 //! 15       kind: 0 ping, 1 ack, 2 ping-req, 3 indirect ack, 4 join, 5 member list, 6 gossip, 7 leave
 //! 16..18   sequence number (u16), for kinds 0 to 3
 //! 18..22   target (u32), for kinds 2 and 3; 22..26 its generation and incarnation (two u16), for kind 3
-//! 16..20   first member wanted (u32; 0xffff_ffff for none), for kind 4
+//! 16..20   first member of the requested list (u32; 0xffff_ffff if no list is requested), for kind 4
 //! then     updates: a count (u8) and nine bytes each: process (6), incarnation (2), state (1): 0 alive, 1 down
 //! ```
 //!
-//! The longest header is 26 bytes, so 25 updates fit the platform's 256 bytes. Nothing decoded is trusted: every read is
-//! checked against what remains, an unknown kind, state or version is an error, and bytes left over are an error too.
+//! The longest header is 26 bytes, so 25 updates fit into a datagram of 256 bytes, the platform's limit. Received bytes
+//! are not trusted: every read is checked against the remaining length, and an unknown kind, state or version is an
+//! error, as are trailing bytes.
 
 use crate::member_update::MemberUpdate;
 use crate::serial_number::{Incarnation, SequenceNumber};
@@ -24,16 +25,16 @@
 pub use irisrouter_datagram::magic::MEMBERSHIP as MAGIC;
 pub use irisrouter_datagram::{WireError, MAX_DATAGRAM_BYTES};
 
-/// Bytes of one update.
+/// Length of an encoded update, in bytes.
 pub const UPDATE_BYTES: usize = 9;
-/// Bytes of the longest header, without the count of updates.
+/// Length of the longest header without the count of updates, in bytes.
 pub const MAX_HEADER_BYTES: usize = 26;
-/// How many updates fit any datagram.
+/// Maximum number of updates in a datagram of any kind.
 pub const MAX_UPDATES: usize = (MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES - 1) / UPDATE_BYTES;
 
-/// The byte of the datagram that holds the kind of its message.
+/// Offset of the byte that holds the kind of the message.
 pub const KIND_OFFSET: usize = 15;
-/// How many kinds of messages there are; the kinds are numbered from 0.
+/// Number of kinds of messages; the kinds are numbered from 0.
 pub const KINDS: usize = 8;
 
 const KIND_PING: u8 = 0;
@@ -48,7 +49,7 @@
 const STATE_ALIVE: u8 = 0;
 const STATE_DOWN: u8 = 1;
 
-/// Stands in a join for "no member list wanted".
+/// Encodes [`Message::Join`] without a requested member list.
 const NO_MEMBER_LIST_WANTED: u32 = u32::MAX;
 
 /// The message of a datagram.
@@ -56,7 +57,7 @@
 pub enum Message {
     /// A ping, which the destination answers with an ack.
     Ping {
-        /// Returned in the ack.
+        /// The sequence number, which is returned in the ack.
         sequence: SequenceNumber,
     },
     /// The answer to a ping.
@@ -66,7 +67,7 @@
     },
     /// SWIM's ping-req: asks the destination to ping the target for the source.
     PingRequest {
-        /// Returned in the indirect ack.
+        /// The sequence number, which is returned in the indirect ack.
         sequence: SequenceNumber,
         /// The member to ping.
         target: GatewayId,
@@ -80,35 +81,35 @@
         /// The incarnation of that process.
         incarnation: Incarnation,
     },
-    /// Announces a member that starts, or that looks for a member that it does not hold alive.
+    /// Sent by a member that starts, and by a member to another one that is unknown or down in its view.
     Join {
-        /// The source wants a list of the members from this one on, if any.
+        /// The first member of the requested member list; `None` if no list is requested.
         list_from: Option<GatewayId>,
     },
-    /// The answer to a join: its updates are a part of the source's view.
+    /// The answer to a join; its updates are a part of the source's view.
     MemberList,
-    /// Carries only updates.
+    /// A message that only carries updates.
     Gossip,
-    /// Announces that the source stops.
+    /// Announces that the source leaves the fleet.
     Leave,
 }
 
-/// A whole datagram.
+/// A decoded datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The process that sent it.
+    /// The process that sent the datagram.
     pub source: GatewayProcess,
     /// The incarnation of the source.
     pub incarnation: Incarnation,
-    /// The recipient; the generation is the one that the source knows.
+    /// The recipient, with the latest generation that the source knows of it.
     pub destination: GatewayProcess,
     /// The message.
     pub message: Message,
-    /// Updates about other members; at most [`MAX_UPDATES`].
+    /// Updates about members; [`encode`] writes at most [`MAX_UPDATES`].
     pub updates: Vec<MemberUpdate>,
 }
 
-/// Encodes a datagram; updates beyond [`MAX_UPDATES`] are left out.
+/// Encodes a datagram; updates beyond [`MAX_UPDATES`] are omitted.
 #[must_use]
 pub fn encode(datagram: &Datagram) -> Vec<u8> {
     let update_count = datagram.updates.len().min(MAX_UPDATES);
@@ -119,7 +120,7 @@
     buffer.put_u16(datagram.incarnation.0);
     put_process(&mut buffer, datagram.destination);
     put_message(&mut buffer, datagram.message);
-    // At most MAX_UPDATES, which is 25.
+    // The cast does not truncate: the count is at most MAX_UPDATES, which is 25.
     buffer.put_u8(update_count as u8);
     for update in &datagram.updates[..update_count] {
         put_update(&mut buffer, update);
@@ -174,7 +175,8 @@
 ///
 /// # Errors
 ///
-/// The bytes are no membership datagram of this version, or are cut short or too long; the first reason found.
+/// Returns the first error found: the bytes are not a membership datagram of this version, are truncated, contain an
+/// unknown value, or are followed by further bytes.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, WireError> {
     let mut reader = Reader::new(bytes, MAGIC)?;
     let source = read_process(&mut reader)?;
@@ -242,7 +244,8 @@
     })
 }
 
-/// Whether a datagram is one of membership's, by its first byte: the peer socket is shared with other protocols.
+/// Returns whether the first byte of a datagram is that of a membership datagram of any version. The socket is shared
+/// with other protocols.
 #[must_use]
 pub fn recognizes(datagram: &[u8]) -> bool {
     irisrouter_datagram::has_magic(datagram, MAGIC)
--- a/crates/membership/src/dissemination.rs
+++ b/crates/membership/src/dissemination.rs
@@ -1,16 +1,17 @@
-//! Which changes are passed on to other members: each a bounded number of times, the least transmitted first.
+//! The queue of changes to disseminate. Each change is transmitted a bounded number of times, the least transmitted
+//! first.
 
 use irisrouter_cluster_types::GatewayId;
 use std::collections::BTreeMap;
 
-/// The members whose rows changed and are to be passed on; at most one entry for each member.
+/// The members whose changed rows remain to be disseminated; at most one entry per member.
 #[derive(Debug, Clone, Default)]
 pub struct DisseminationQueue {
-    /// How often each member's row was transmitted since it was added.
+    /// Number of transmissions of each member's row since it was last added.
     transmissions: BTreeMap<GatewayId, u32>,
 }
 
-/// A member whose row may be passed on. Ordered by the number of transmissions, then by the number of the gateway.
+/// A member whose row may be sent. The derived order, by transmissions and then by gateway, is the order of selection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Candidate {
     transmissions: u32,
@@ -18,21 +19,21 @@
 }
 
 impl DisseminationQueue {
-    /// Adds a member, with no transmissions yet; an entry that it already has starts over.
+    /// Adds a member with a transmission count of 0. If the member is in the queue already, its count is reset to 0.
     pub fn add(&mut self, gateway: GatewayId) {
         self.transmissions.insert(gateway, 0);
     }
 
-    /// Whether there is nothing to pass on.
+    /// Returns whether the queue is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.transmissions.is_empty()
     }
 
-    /// Takes up to `count` members for one datagram to `recipient`, which is not sent what is known of itself.
+    /// Selects up to `count` members for one datagram to `recipient`; the recipient's own row is not among them.
     ///
-    /// The least transmitted come first, then those with lower numbers. Each is counted as transmitted, and is removed
-    /// from the queue after `max_transmissions`.
+    /// The least transmitted members are selected first, and among equals those with lower numbers. The transmission
+    /// count of each is incremented; a member that reaches `max_transmissions` is removed from the queue.
     pub fn take(
         &mut self,
         count: usize,
--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the core.
+//! Error types of the membership core.
 
 use crate::codec::WireError;
 use crate::settings::SettingsError;
@@ -8,7 +8,7 @@
 /// Why a [`crate::Membership`] can't be created.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum MembershipError {
-    /// The settings do not pass their check.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// This gateway is not in the fleet's list.
@@ -24,13 +24,13 @@
 /// Why a datagram was rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ReceiveError {
-    /// It can't be decoded.
+    /// The datagram can't be decoded.
     #[error("undecodable membership datagram: {0}")]
     Undecodable(#[from] WireError),
-    /// Its source is not in the fleet's list, or is this gateway itself.
+    /// The source of the datagram is not in the fleet's list, or is this gateway itself.
     #[error("source {0} is not another gateway of the fleet")]
     UnknownSource(GatewayId),
-    /// It is addressed to this other gateway.
+    /// The datagram is addressed to another gateway, which is given here.
     #[error("addressed to gateway {0}")]
     WrongDestination(GatewayId),
 }
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -15,25 +15,26 @@
 /// The state of the failure detector.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FailureDetector {
-    /// The pings of this member.
+    /// The outstanding pings that this member sent on its own account.
     pub pings: OutstandingPings,
-    /// The pings that it sent at the request of others.
+    /// The outstanding pings that this member sent at the request of others.
     pub relayed: RelayedPings,
-    /// The members that are still to be pinged in this pass through the fleet; the last one is next.
+    /// The members that remain to be pinged in the current pass through the fleet; the last element is the next one.
     pub ping_order: Vec<GatewayId>,
-    /// Whether the members pinged last answered in their first round.
+    /// Outcomes of the most recent scheduled pings, each after its first round.
     pub history: PingHistory,
 }
 
 impl Membership {
-    /// Starts the ping of this protocol period.
+    /// Starts the ping that is scheduled for this protocol period.
     pub(crate) fn start_scheduled_ping(&mut self) {
         if let Some(gateway) = self.next_ping_target() {
             self.detector.pings.start(gateway, PingReason::Scheduled);
         }
     }
 
-    /// The next member to ping: each pass through the fleet pings all members that are alive, in a new random order.
+    /// Returns the next member to ping. Each pass through the fleet covers all members that are alive, in a new random
+    /// order.
     fn next_ping_target(&mut self) -> Option<GatewayId> {
         self.next_in_ping_order().or_else(|| {
             self.detector.ping_order = self.alive_except(self.local.process.gateway);
@@ -42,10 +43,10 @@
         })
     }
 
-    /// The next member of this pass that is still alive and is not being pinged already.
+    /// Takes the next member of this pass that is still alive and is not being pinged already.
     fn next_in_ping_order(&mut self) -> Option<GatewayId> {
         while let Some(gateway) = self.detector.ping_order.pop() {
-            let alive = self.view.is(gateway, Liveness::Alive);
+            let alive = self.view.has_liveness(gateway, Liveness::Alive);
             if alive && self.detector.pings.get(gateway).is_none() {
                 return Some(gateway);
             }
@@ -53,7 +54,7 @@
         None
     }
 
-    /// Takes the steps of the outstanding pings that are due now.
+    /// Carries out the steps of the outstanding pings that are due now.
     pub(crate) fn run_due_ping_steps(&mut self) {
         let due = self.detector.pings.take_due(self.now, &self.settings);
         for DuePing { gateway, step } in due {
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Sends the ping of the round under way.
+    /// Sends a ping with the sequence number of the current round.
     fn send_ping(&mut self, gateway: GatewayId) {
         let Some(ping) = self.detector.pings.get(gateway) else {
             return;
@@ -79,7 +80,8 @@
         let sequence = ping.sequence;
         let updates = match ping.reason {
             PingReason::Scheduled => Vec::new(),
-            // A member that others reported down has to know it, so that its answer outranks the report everywhere.
+            // The ping tells a member that it was reported down. The member then raises its incarnation, so that its
+            // answer outranks the report throughout the fleet.
             PingReason::ReportedDown => vec![MemberUpdate {
                 process: row.process,
                 incarnation: row.incarnation,
@@ -89,7 +91,7 @@
         self.send_with_updates(gateway, Message::Ping { sequence }, updates);
     }
 
-    /// Asks a few members that are alive, at random, to ping the target.
+    /// Asks `indirect_pings` randomly chosen members that are alive to ping the target.
     fn request_indirect_pings(&mut self, target: GatewayId) {
         let Some(sequence) = self.detector.pings.get(target).map(|ping| ping.sequence) else {
             return;
@@ -99,7 +101,8 @@
         }
     }
 
-    /// Pings the target of a ping request. A target outside the fleet's list takes a sequence number, too, but no ping.
+    /// Pings the target of a ping request. A request for a target outside the fleet's list uses up a sequence number
+    /// but sends no ping.
     pub(crate) fn relay_ping(
         &mut self,
         requester: GatewayId,
@@ -122,7 +125,8 @@
         self.send(target, Message::Ping { sequence });
     }
 
-    /// Forwards an ack to the member that requested the ping, if it was relayed, and takes it as an answer otherwise.
+    /// Processes an ack: forwards it to the requester if it answers a relayed ping, and matches it with this member's
+    /// own pings.
     pub(crate) fn process_ack(
         &mut self,
         source: GatewayProcess,
@@ -141,8 +145,8 @@
         self.process_answer(source, incarnation, sequence);
     }
 
-    /// Processes the answer of a member, which it sent itself or through another member: it ends the ping to the member
-    /// and a suspicion.
+    /// Processes the answer of a member, received directly or through another member. If it matches an outstanding
+    /// ping, it ends the ping and a suspicion of the member.
     pub(crate) fn process_answer(
         &mut self,
         process: GatewayProcess,
@@ -166,7 +170,7 @@
         }
     }
 
-    /// Ends the ping to a member that answered, and records the outcome if it was a scheduled ping in its first round.
+    /// Ends the ping to a member that answered. The outcome is recorded only for a scheduled ping in its first round.
     fn end_answered_ping(&mut self, gateway: GatewayId) {
         let Some(ping) = self.detector.pings.end(gateway) else {
             return;
@@ -176,7 +180,7 @@
         }
     }
 
-    /// Processes a round of pings that ended without an answer.
+    /// Processes the end of a round that the member did not answer.
     fn process_missed_round(&mut self, gateway: GatewayId) {
         let Some(ping) = self.detector.pings.get(gateway) else {
             return;
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,5 +1,5 @@
-//! Sending: each datagram carries updates about members that changed (piggybacking), and a periodic gossip carries them
-//! where no other datagram does.
+//! Sending of datagrams. Updates about changed members are piggybacked on the datagrams of the protocol; a periodic
+//! gossip carries them when there are too few other datagrams.
 
 use crate::action::Action;
 use crate::codec::{self, Datagram, Message, MAX_UPDATES};
@@ -8,38 +8,38 @@
 use irisrouter_cluster_types::{GatewayId, GatewayProcess};
 
 impl Membership {
-    /// Sends updates to a few members, at random.
+    /// Sends queued updates to `gossip_fanout` randomly chosen members.
     pub(crate) fn send_gossip(&mut self) {
         let fanout = self.settings.gossip_fanout;
         for gateway in self.random_alive_except(fanout, self.local.process.gateway) {
-            // The datagrams before this one may have taken the last updates.
+            // The previous datagrams may have taken the last queued updates.
             if !self.dissemination.is_empty() {
                 self.send(gateway, Message::Gossip);
             }
         }
     }
 
-    /// Sends a message, with as many queued updates as fit.
+    /// Sends a message with as many queued updates as fit.
     pub(crate) fn send(&mut self, to: GatewayId, message: Message) {
         self.send_with_updates(to, message, Vec::new());
     }
 
-    /// Sends a message with these updates first, and then as many queued ones as fit.
+    /// Sends a message with the given updates, followed by as many queued updates as fit.
     pub(crate) fn send_with_updates(
         &mut self,
         to: GatewayId,
         message: Message,
         mut updates: Vec<MemberUpdate>,
     ) {
-        let room = MAX_UPDATES - updates.len().min(MAX_UPDATES);
+        let free_slots = MAX_UPDATES - updates.len().min(MAX_UPDATES);
         let max_transmissions = self.settings.max_transmissions();
-        for gateway in self.dissemination.take(room, to, max_transmissions) {
+        for gateway in self.dissemination.take(free_slots, to, max_transmissions) {
             updates.extend(self.update_about(gateway));
         }
         self.send_exactly(to, message, updates);
     }
 
-    /// Sends a message with these updates only.
+    /// Sends a message with the given updates only.
     pub(crate) fn send_exactly(
         &mut self,
         to: GatewayId,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,19 +1,19 @@
-//! Membership of the fleet of gateways, by SWIM (Das, Gupta and Motivala, 2002): which gateways are alive, suspect or
-//! down, in which incarnation, and how old that knowledge is.
+//! SWIM membership of the gateway fleet (Das, Gupta and Motivala, 2002): which gateways are alive, suspect or down, in
+//! which incarnation, and how old that information is.
 //!
-//! In each protocol period one member is pinged. If it does not ack, `indirect_pings` others are asked to ping it too. A
-//! member that still does not ack is suspect: it is pinged again each period, and is declared down after
-//! [`Settings::suspicion_rounds`] more rounds without an answer. That verdict is disseminated with pings (piggybacked)
-//! and with a small periodic gossip; each member that receives it pings the suspect itself before it accepts the verdict.
-//! A member that learns that it is held down raises its incarnation, which outranks the verdict. The rules by which rows
-//! change are pure functions in [`merge_rules`], with the reasons why they differ from SWIM as published; see also
-//! `docs/membership.md`.
+//! In each protocol period a member pings one other member. If that one does not ack, `indirect_pings` other members
+//! are asked to ping it too. A member that still does not ack becomes suspect: it is pinged again in each period, and
+//! is declared down after [`Settings::suspicion_rounds`] more rounds without an answer. This verdict is piggybacked on
+//! the protocol's messages and sent in a small periodic gossip; each member that receives it pings the suspect itself
+//! before it accepts the verdict. A member that receives a report that it is down itself raises its incarnation, which
+//! outranks the verdict. The rules by which the rows of the view change are pure functions in [`merge_rules`], with the
+//! reasons why they differ from SWIM as published; see also `docs/membership.md`.
 //!
-//! The core has no I/O, no clock and no tasks: its owner passes in datagrams and the time, and carries out [`Action`]s.
-//! Randomness comes from a seed. The same core runs in the gateway, in tests on a simulated network
-//! (`irisrouter-simulated-network`) and in measurements.
+//! The core performs no I/O, reads no clock and spawns no tasks: its owner passes in the datagrams and the current
+//! time, and carries out the returned [`Action`]s. All random numbers are derived from a seed. The same core runs in
+//! the gateway, in tests on a simulated network (`irisrouter-simulated-network`) and in measurements.
 //!
-//! Begin reading with [`Membership`]; `failure_detector`, `updates`, `gossip` and `join_leave` hold its parts.
+//! Start reading at [`Membership`]; `failure_detector`, `updates`, `gossip` and `join_leave` implement its parts.
 
 #![forbid(unsafe_code)]
 
--- a/crates/membership/src/member_update.rs
+++ b/crates/membership/src/member_update.rs
@@ -1,14 +1,14 @@
-//! What one member reports about another.
+//! The report of one member about another.
 
 use crate::serial_number::Incarnation;
 use irisrouter_cluster_types::GatewayProcess;
 
-/// A report about one member: "in this incarnation, this process is alive" or "is down".
+/// A report that a process is alive or down in a given incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct MemberUpdate {
-    /// The process of the member that the report is about.
+    /// The reported member and the generation of its process.
     pub process: GatewayProcess,
-    /// The incarnation that the report is about.
+    /// The incarnation for which the report holds.
     pub incarnation: Incarnation,
     /// Whether the member is reported down; otherwise it is reported alive.
     pub down: bool,
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,4 +1,4 @@
-//! The core of one gateway's membership: its state, the datagrams that it receives and the work that is due.
+//! The core of one gateway's membership: its state, the dispatch of received datagrams, and the periodic work.
 
 use crate::action::Action;
 use crate::codec::{self, Datagram, Message};
@@ -15,20 +15,20 @@
 use rand::seq::SliceRandom;
 use rand::{RngExt, SeedableRng};
 
-/// This gateway as a member.
+/// The state of this gateway as a member of the fleet.
 #[derive(Debug, Clone)]
 pub(crate) struct LocalMember {
-    /// The gateway and the generation as which it runs.
+    /// This gateway and its current generation.
     pub process: GatewayProcess,
-    /// Raised with each refutation.
+    /// The current incarnation; each refutation raises it.
     pub incarnation: Incarnation,
-    /// When it last continued as a later generation, if it did.
+    /// When this process last took a later generation; `None` if it never did.
     pub renewed_at: Option<Timestamp>,
-    /// Whether it has announced that it stops.
+    /// Whether this member has announced that it leaves the fleet.
     pub has_left: bool,
 }
 
-/// The membership of one gateway.
+/// The SWIM state machine of one gateway.
 pub struct Membership {
     pub(crate) local: LocalMember,
     pub(crate) view: View,
@@ -37,17 +37,18 @@
     pub(crate) detector: FailureDetector,
     pub(crate) dissemination: DisseminationQueue,
     pub(crate) timers: Timers,
-    /// The latest time that the owner passed in.
+    /// The latest time passed in by the owner.
     pub(crate) now: Timestamp,
+    /// Actions that the owner has not taken yet.
     pub(crate) actions: Vec<Action>,
 }
 
 impl Membership {
-    /// A member that knows only itself, at time `now`; `seed` is that of its random numbers.
+    /// Creates a member that knows only itself, at time `now`; its random numbers are derived from `seed`.
     ///
     /// # Errors
     ///
-    /// The settings do not pass [`Settings::check`], or `local` lies outside the fleet's list.
+    /// Returns an error if the settings do not pass [`Settings::check`] or if `local` is not in the fleet's list.
     pub fn new(
         local: GatewayProcess,
         settings: Settings,
@@ -62,7 +63,8 @@
             });
         }
         let mut rng = SmallRng::seed_from_u64(seed);
-        // Random, as gateways that are started at the same time would otherwise ping and gossip in step.
+        // The delay is random because gateways that start at the same time would otherwise send their pings
+        // simultaneously in every period.
         let first_ping_delay_ms = rng.random_range(0..settings.protocol_period.0);
         let first_ping = now + Milliseconds(first_ping_delay_ms);
         Ok(Self {
@@ -83,31 +85,31 @@
         })
     }
 
-    /// The current view.
+    /// Returns the current view.
     #[must_use]
     pub const fn view(&self) -> &View {
         &self.view
     }
 
-    /// The settings in force.
+    /// Returns the settings that were passed to [`Membership::new`].
     #[must_use]
     pub const fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// This process, with its current generation.
+    /// Returns this gateway and its current generation.
     #[must_use]
     pub const fn local_process(&self) -> GatewayProcess {
         self.local.process
     }
 
-    /// Whether this member has announced that it stops.
+    /// Returns whether this member has announced that it leaves the fleet.
     #[must_use]
     pub const fn has_left(&self) -> bool {
         self.local.has_left
     }
 
-    /// Which side of a network partition this gateway is on.
+    /// Returns the counts by which this gateway judges which side of a network partition it is on.
     #[must_use]
     pub fn partition_side(&self) -> PartitionSide {
         PartitionSide {
@@ -120,13 +122,13 @@
 
     /// Processes a datagram that the owner received.
     ///
-    /// No timers fire here: a process that resumes after a stall reads what has arrived in its socket meanwhile, and
-    /// rounds that ended during the stall count for nothing.
+    /// No timers fire in this call. After a stall, a process can therefore first read the datagrams that arrived in its
+    /// socket during the stall, before rounds of pings that ended in that time are evaluated.
     ///
     /// # Errors
     ///
-    /// The datagram can't be decoded, comes from outside the list, or is addressed to another member; the view is
-    /// unchanged then.
+    /// Returns an error, and leaves the view unchanged, if the datagram can't be decoded, if its source is not another
+    /// gateway of the fleet's list, or if it is addressed to another gateway.
     pub fn receive(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), ReceiveError> {
         self.advance_clock(now);
         let datagram = codec::decode(bytes)?;
@@ -152,13 +154,14 @@
         Ok(())
     }
 
-    /// Does what the message of a datagram asks for.
+    /// Processes the message of a datagram, after its source and updates were merged into the view.
     fn process_message(&mut self, datagram: &Datagram, trust: SourceTrust) {
         let source = datagram.source;
         let trusted = trust == SourceTrust::Trusted;
         let for_this_process = datagram.destination == self.local.process;
         match datagram.message {
-            // A member that is held down is answered too: its own answers are what proves it alive.
+            // A ping is answered even if its source is down in the view, because only answers to pings confirm that a
+            // member is alive.
             Message::Ping { sequence } => self.send(source.gateway, Message::Ack { sequence }),
             Message::Ack { sequence } if for_this_process => {
                 self.process_ack(source, datagram.incarnation, sequence);
@@ -187,7 +190,7 @@
         }
     }
 
-    /// Does the periodic work that is due by `now`.
+    /// Performs the periodic work that is due by `now`: pings, gossip and rejoins.
     pub fn advance(&mut self, now: Timestamp) {
         self.advance_clock(now);
         if self.local.has_left {
@@ -208,8 +211,8 @@
         }
     }
 
-    /// When [`Membership::advance`] next has work: the owner sleeps until then or until a datagram arrives.
-    /// [`Timestamp::MAX`] once this member has left.
+    /// Returns the time at which [`Membership::advance`] next has work; the owner sleeps until then or until a datagram
+    /// arrives. Returns [`Timestamp::MAX`] once this member has left.
     #[must_use]
     pub fn next_due(&self) -> Timestamp {
         if self.local.has_left {
@@ -228,17 +231,17 @@
             .max(self.now)
     }
 
-    /// Takes what the owner is to do, in order.
+    /// Takes the pending actions, in the order in which the owner has to carry them out.
     pub fn drain_actions(&mut self) -> std::vec::Drain<'_, Action> {
         self.actions.drain(..)
     }
 
-    /// Moves the clock on; it never goes back.
+    /// Advances the clock to `now`; a `now` before the current time is ignored.
     pub(crate) fn advance_clock(&mut self, now: Timestamp) {
         self.now = self.now.max(now);
     }
 
-    /// The members alive but this one and `excluded`, in ascending order.
+    /// Returns the members that are alive, except this one and `excluded`, in ascending order.
     pub(crate) fn alive_except(&self, excluded: GatewayId) -> Vec<GatewayId> {
         self.view
             .members()
@@ -248,7 +251,7 @@
             .collect()
     }
 
-    /// Up to `count` members alive but this one and `excluded`, chosen at random.
+    /// Returns up to `count` randomly chosen members that are alive, except this one and `excluded`.
     pub(crate) fn random_alive_except(
         &mut self,
         count: usize,
@@ -259,7 +262,7 @@
         chosen.to_vec()
     }
 
-    /// Sets the row of another member and reports the change of its liveness, if there is one.
+    /// Sets the row of another member, and adds an [`Action::Changed`] if its liveness changed.
     pub(crate) fn set_member(
         &mut self,
         process: GatewayProcess,
@@ -272,10 +275,10 @@
     }
 }
 
-/// Whether the updates and requests of a datagram's source are used.
+/// Whether updates and requests from the source of a datagram are accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SourceTrust {
     Trusted,
-    /// The source is held down or was replaced by a later process; it has been notified.
+    /// The source is down in the view or was replaced by a later process. It has been sent its row.
     Untrusted,
 }
--- a/crates/membership/src/merge_rules.rs
+++ b/crates/membership/src/merge_rules.rs
@@ -1,15 +1,16 @@
-//! The rules by which a row of the view changes, as pure functions. The core applies them and the model checker checks
-//! them (`tests/suspicion.rs`), so the rules that are verified are the rules that run.
+//! The rules by which a row of the view changes, as pure functions. The core applies them, and the model checker checks
+//! the same functions (`tests/suspicion.rs`).
 //!
 //! Three rules differ from SWIM as published, each because of a failure that was observed (`docs/membership.md`):
 //!
-//! 1. **No member is declared down on a report alone.** A report that a member is down makes the receiver ping that
-//!    member itself ([`UpdateOutcome::Verify`]); only its own unanswered pings lead to a verdict.
-//! 2. **Only answers prove that a member is alive.** A datagram that merely arrives does not end a suspicion
-//!    ([`ContactOutcome`]): otherwise a gateway that can send and not receive would stay alive for ever, and keep its
+//! 1. **No member is declared down because of a report alone.** A member that receives a report that another one is
+//!    down pings that one itself ([`UpdateOutcome::Verify`]); only its own unanswered pings lead to a verdict.
+//! 2. **Only answers to pings confirm that a member is alive.** The mere arrival of a datagram does not end a suspicion
+//!    ([`ContactOutcome`]). Otherwise a gateway that can send but not receive would remain alive forever and keep its
 //!    leases.
-//! 3. **A verdict holds for one incarnation.** The member itself, once notified, raises its incarnation, and that
-//!    update outranks every older one, whoever sends it. No verdict is final.
+//! 3. **A verdict holds for one incarnation.** A member that is notified of a verdict against it raises its
+//!    incarnation, and an update with the higher incarnation outranks all older updates, regardless of the sender. No
+//!    verdict is final.
 
 use crate::member_update::MemberUpdate;
 use crate::serial_number::{Incarnation, SerialNumber};
@@ -17,62 +18,63 @@
 use irisrouter_cluster_types::{GatewayProcess, Generation};
 use std::cmp::Ordering;
 
-/// What to do with an update about a third member.
+/// The decision on an update about another member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum UpdateOutcome {
-    /// Ignore it: it is known, or older than what is known.
+    /// Ignore the update: its content is already known, or is older than the row.
     Stale,
-    /// Correct the sender: it reports a member down of which a later incarnation is known.
+    /// Send the row to the sender: it reports a member down of which a later incarnation or generation is known.
     SenderOutdated,
-    /// Apply it: the row becomes what the update says.
+    /// Apply the update: set the row to the reported state.
     Apply,
-    /// Suspect the member and ping it, to verify the report that it is down.
+    /// Mark the member suspect and ping it, to verify the report that it is down.
     Verify,
 }
 
-/// What a datagram from a member means for the row of that member.
+/// The decision on the row of the member that sent a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum ContactOutcome {
-    /// Nothing new.
+    /// Leave the row as it is.
     Unchanged,
-    /// The member was not known, or is a later process or in a later incarnation: it is alive.
+    /// Mark the member alive: it was unknown, or the datagram is from a later process or a later incarnation.
     Alive,
-    /// The member is held down, or was replaced by a later process, and does not know it: it is notified, and its
-    /// updates about others are not used.
+    /// Notify the member, and do not use its updates about others: the row has it down or replaced by a later process,
+    /// and the member does not know it.
     NotifySender,
 }
 
-/// What this member does on receiving an update about itself.
+/// The decision on an update that a member receives about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum SelfUpdateOutcome {
-    /// Nothing.
+    /// Ignore the update.
     Ignore,
-    /// Refute it: continue in this incarnation, and spread that.
+    /// Refute the update: continue in this incarnation and disseminate it.
     Refute(Incarnation),
-    /// A later generation of this gateway is known to the fleet (the clock was set back between two starts): continue
-    /// as this generation.
+    /// Continue as this generation, because the fleet knows a later generation of this gateway than the running one.
+    /// This happens if the clock was set back between two starts, or if they are too far apart for the comparison of
+    /// generations.
     Renew(Generation),
 }
 
-/// What a round of pings without an answer means.
+/// The decision on a member that did not answer a round of pings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum MissedRoundOutcome {
-    /// The member is suspect and is pinged for another round.
+    /// Mark the member suspect and ping it for another round.
     Suspect,
-    /// The member is down.
+    /// Declare the member down.
     Down,
 }
 
 /// Why a member is being pinged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum PingReason {
-    /// It is the member that is pinged in this protocol period.
+    /// The member is the one that is pinged in this protocol period.
     Scheduled,
-    /// Another member reported it down, which is to be verified.
+    /// Another member reported the member down, and the report is being verified.
     ReportedDown,
 }
 
-/// Compares the process and incarnation of an update with those of a row: the generation decides, then the incarnation.
+/// Compares an update with a row by generation, and by incarnation if the generations are equal.
 fn compare_with_row(update: &MemberUpdate, row: &MemberState) -> Ordering {
     let generation = update.process.generation;
     let generation_order = generation.compare_serial(row.process.generation);
@@ -80,7 +82,7 @@
     generation_order.then(incarnation_order)
 }
 
-/// Decides on an update about a third member, against what is known of that member.
+/// Decides on an update about another member, given the row of that member.
 #[must_use]
 pub fn merge_update(row: &MemberState, update: &MemberUpdate) -> UpdateOutcome {
     if row.liveness == Liveness::Unknown {
@@ -101,7 +103,7 @@
     }
 }
 
-/// Decides on a datagram that member `source` sent in this incarnation, against what is known of that member.
+/// Decides on a datagram that `source` sent in the given incarnation, given the row of that member.
 #[must_use]
 pub fn merge_contact(
     row: &MemberState,
@@ -121,7 +123,7 @@
     }
 }
 
-/// Decides on an update about this member itself, which runs as `local` in this incarnation.
+/// Decides on an update about this member itself, which runs as `local` in the given incarnation.
 #[must_use]
 pub fn merge_update_about_self(
     local: GatewayProcess,
@@ -134,17 +136,18 @@
     match (generation_order, incarnation_order) {
         (Ordering::Greater, _) => SelfUpdateOutcome::Renew(update.process.generation.next()),
         (Ordering::Less, _) | (_, Ordering::Less) => SelfUpdateOutcome::Ignore,
-        // An older process that started within the same second (the generation's unit) had raised it further.
+        // A previous process with the same generation had a higher incarnation: generations count seconds, so two
+        // starts within one second have the same one.
         (_, Ordering::Greater) => SelfUpdateOutcome::Refute(next_incarnation),
         _ if update.down => SelfUpdateOutcome::Refute(next_incarnation),
         _ => SelfUpdateOutcome::Ignore,
     }
 }
 
-/// Decides on a round of pings without an answer, `missed_rounds` being the number of such rounds in a row.
+/// Decides on a member that has not answered `missed_rounds` consecutive rounds of pings.
 ///
-/// The first one makes the member suspect, and `suspicion_rounds` more declare it down. One is enough where another
-/// member reported it down.
+/// After the first missed round the member is suspect, and after `suspicion_rounds` more it is down. If another member
+/// reported it down, it is down after one missed round.
 #[must_use]
 pub const fn judge_missed_round(
     missed_rounds: u32,
--- a/crates/membership/src/outstanding_pings.rs
+++ b/crates/membership/src/outstanding_pings.rs
@@ -1,9 +1,9 @@
-//! The pings under way: each is to one member and runs in rounds of one protocol period, until the member answers or has
-//! missed too many rounds.
+//! The outstanding pings, one per pinged member. A ping runs in rounds of one protocol period, until the member answers
+//! or has missed too many rounds.
 //!
-//! A round starts with a ping. After a ping timeout without an answer a second ping is sent and other members are asked
-//! to ping indirectly; after another timeout a third ping is sent. The repetitions are there because at 30 % loss one
-//! ping and its answer fail every second time, and each missed round costs a suspicion.
+//! A round starts with a ping. If no answer arrives within the ping timeout, a second ping is sent and other members
+//! are asked to ping indirectly; after another ping timeout a third ping is sent. The pings are repeated because at
+//! 30 % loss a single ping or its ack is lost in every second round, and each missed round leads to a suspicion.
 
 use crate::merge_rules::PingReason;
 use crate::serial_number::{SequenceNumber, SerialNumber};
@@ -11,33 +11,33 @@
 use irisrouter_cluster_types::{GatewayId, Timestamp};
 use std::collections::BTreeMap;
 
-/// How many rounds may be under way at a time; further members wait.
+/// Maximum number of rounds that run at the same time; further members wait.
 ///
-/// After a partition of a large fleet a member receives hundreds of reports of members that are down within a second,
-/// and pinging all of them at once would overflow its socket.
+/// After a partition of a large fleet a member receives hundreds of reports of members that are down within one second.
+/// Pinging all of them at once would overflow its socket.
 pub(crate) const MAX_CONCURRENT_ROUNDS: usize = 16;
 
-/// What is to be done now for a member that is being pinged.
+/// A step of a round of pings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PingStep {
     /// Ping the member.
     Ping,
-    /// Ping the member, and ask other members to ping it.
+    /// Ping the member, and ask other members to ping it too.
     PingIndirectly,
-    /// The round ended without an answer.
+    /// End the round, because the member did not answer.
     RoundMissed,
 }
 
 /// A step that is due for one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct DuePing {
-    /// The member.
+    /// The member that is being pinged.
     pub gateway: GatewayId,
-    /// What is to be done.
+    /// The step to carry out.
     pub step: PingStep,
 }
 
-/// A round under way: when it started, and what is to be done next in it.
+/// A running round: its start and its next step.
 #[derive(Debug, Clone, Copy)]
 struct Round {
     started: Timestamp,
@@ -45,7 +45,7 @@
 }
 
 impl Round {
-    /// When the next step is due.
+    /// Returns the time at which the next step is due.
     fn due(&self, settings: &Settings) -> Timestamp {
         let second_timeout = settings.ping_timeout * 2;
         let delay = match self.next_step {
@@ -56,7 +56,7 @@
         self.started + delay
     }
 
-    /// Returns the step that is due now and moves on to the one after it.
+    /// Returns the next step, and advances to the one after it.
     fn take_step(&mut self) -> PingStep {
         let step = self.next_step;
         self.next_step = match step {
@@ -67,25 +67,26 @@
     }
 }
 
-/// One member that is being pinged.
+/// The state of the ping to one member.
 #[derive(Debug, Clone)]
 pub(crate) struct OutstandingPing {
-    /// Rounds in a row without an answer.
+    /// Number of consecutive rounds without an answer.
     pub missed_rounds: u32,
-    /// Why the member is pinged.
+    /// Why the member is being pinged.
     pub reason: PingReason,
-    /// The sequence number of the first round, once that has started.
+    /// The sequence number of the first round; meaningless before the first round has started.
     first_sequence: SequenceNumber,
-    /// The sequence number of the latest round, once one has started.
+    /// The sequence number of the latest round; meaningless before the first round has started.
     pub sequence: SequenceNumber,
-    /// The round under way; `None` while the member waits for one.
+    /// The running round; `None` while the member waits for its next round to start.
     round: Option<Round>,
-    /// The place among the members that wait: the one that has waited longest has the lowest.
+    /// Position in the queue of members that wait for a round; the lowest one starts first.
     queue_position: u64,
 }
 
 impl OutstandingPing {
-    /// Whether an ack with this sequence number answers this ping, in any of its rounds.
+    /// Returns whether an ack with this sequence number answers this ping. A round must be running; the sequence number
+    /// may be that of this round or of an earlier one.
     #[must_use]
     pub(crate) fn is_answered_by(&self, sequence: SequenceNumber) -> bool {
         let since_first = sequence.distance_from(self.first_sequence);
@@ -94,7 +95,7 @@
     }
 }
 
-/// All pings under way, by member.
+/// All outstanding pings of this member.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct OutstandingPings {
     pings: BTreeMap<GatewayId, OutstandingPing>,
@@ -103,26 +104,26 @@
 }
 
 impl OutstandingPings {
-    /// A new sequence number.
+    /// Returns a new sequence number.
     pub(crate) fn next_sequence(&mut self) -> SequenceNumber {
         self.last_sequence = self.last_sequence.next();
         self.last_sequence
     }
 
-    /// The place behind all members that wait.
+    /// Returns the queue position behind all members that wait for a round.
     fn next_queue_position(&mut self) -> u64 {
         self.last_queue_position += 1;
         self.last_queue_position
     }
 
-    /// The ping to a member.
+    /// Returns the outstanding ping to a member, if there is one.
     #[must_use]
     pub(crate) fn get(&self, gateway: GatewayId) -> Option<&OutstandingPing> {
         self.pings.get(&gateway)
     }
 
-    /// Starts to ping a member, from the next [`OutstandingPings::take_due`] on. If it is being pinged already, only the
-    /// reason may change, to [`PingReason::ReportedDown`].
+    /// Adds a ping to a member; its first round starts with the next [`OutstandingPings::take_due`] at the earliest. If
+    /// the member is being pinged already, only the reason may change, to [`PingReason::ReportedDown`].
     pub(crate) fn start(&mut self, gateway: GatewayId, reason: PingReason) {
         let queue_position = self.next_queue_position();
         let ping = self.pings.entry(gateway).or_insert(OutstandingPing {
@@ -138,12 +139,13 @@
         }
     }
 
-    /// Ends the ping to a member.
+    /// Ends the ping to a member, and returns it if there was one.
     pub(crate) fn end(&mut self, gateway: GatewayId) -> Option<OutstandingPing> {
         self.pings.remove(&gateway)
     }
 
-    /// Starts another round for a member that has missed this many in a row, from the next [`OutstandingPings::take_due`] on.
+    /// Queues another round for a member that has missed `missed_rounds` consecutive rounds; it starts with the next
+    /// [`OutstandingPings::take_due`] at the earliest.
     pub(crate) fn start_next_round(&mut self, gateway: GatewayId, missed_rounds: u32) {
         if !self.pings.contains_key(&gateway) {
             return;
@@ -156,20 +158,21 @@
         }
     }
 
-    /// How many rounds are under way; at most [`MAX_CONCURRENT_ROUNDS`].
-    fn rounds_under_way(&self) -> usize {
-        let under_way = |ping: &&OutstandingPing| ping.round.is_some();
-        self.pings.values().filter(under_way).count()
+    /// Returns the number of running rounds; at most [`MAX_CONCURRENT_ROUNDS`].
+    fn running_rounds(&self) -> usize {
+        let running = |ping: &&OutstandingPing| ping.round.is_some();
+        self.pings.values().filter(running).count()
     }
 
-    /// When [`OutstandingPings::take_due`] has something next; [`Timestamp::ZERO`] where a waiting round may start at
-    /// once, and [`Timestamp::MAX`] without any ping.
+    /// Returns the time at which [`OutstandingPings::take_due`] next returns a step: [`Timestamp::ZERO`] if a waiting
+    /// round may start immediately, [`Timestamp::MAX`] if there is no outstanding ping.
     #[must_use]
     pub(crate) fn next_due(&self, settings: &Settings) -> Timestamp {
-        let under_way = self.rounds_under_way();
-        let some_wait = self.pings.len() > under_way;
-        // A round that is over is ended or started again by the owner within the same call, so it never stands here.
-        if some_wait && under_way < MAX_CONCURRENT_ROUNDS {
+        let running = self.running_rounds();
+        let some_wait = self.pings.len() > running;
+        // Rounds that have ended are not considered here: the owner ends the ping or queues its next round in the same
+        // call in which it takes the last step.
+        if some_wait && running < MAX_CONCURRENT_ROUNDS {
             return Timestamp::ZERO;
         }
         self.pings
@@ -179,18 +182,18 @@
             .unwrap_or(Timestamp::MAX)
     }
 
-    /// Takes the steps that are due by `now`: first those of rounds under way, by gateway, then the first pings of the
-    /// rounds that start now.
+    /// Takes the steps that are due by `now`: first those of running rounds, ordered by gateway, then the first pings
+    /// of the rounds that start now.
     pub(crate) fn take_due(&mut self, now: Timestamp, settings: &Settings) -> Vec<DuePing> {
         let mut due = self.take_due_steps(now, settings);
         self.start_waiting_rounds(now, &mut due);
         due
     }
 
-    /// Takes the steps of rounds under way.
+    /// Takes the due steps of running rounds.
     ///
-    /// A round that is over for more than a period is started again and counts for nothing: this process was paused
-    /// and has not read the answers.
+    /// A round that should have ended more than one protocol period ago is queued again without being counted as
+    /// missed: this process was paused, and the answers may not have been read.
     fn take_due_steps(&mut self, now: Timestamp, settings: &Settings) -> Vec<DuePing> {
         let mut due = Vec::new();
         for (&gateway, ping) in &mut self.pings {
@@ -210,9 +213,9 @@
         due
     }
 
-    /// Starts as many waiting rounds as may be under way at a time, in the order in which they have waited.
+    /// Starts waiting rounds, longest waiting first, up to [`MAX_CONCURRENT_ROUNDS`] running ones.
     fn start_waiting_rounds(&mut self, now: Timestamp, due: &mut Vec<DuePing>) {
-        let free = MAX_CONCURRENT_ROUNDS.saturating_sub(self.rounds_under_way());
+        let free = MAX_CONCURRENT_ROUNDS.saturating_sub(self.running_rounds());
         for gateway in self.waiting_members().into_iter().take(free) {
             let sequence = self.next_sequence();
             let Some(ping) = self.pings.get_mut(&gateway) else {
@@ -233,7 +236,7 @@
         }
     }
 
-    /// The members that wait for a round, the one that has waited longest first. No two have the same queue position.
+    /// Returns the members that wait for a round, longest waiting first. Queue positions are unique.
     fn waiting_members(&self) -> Vec<GatewayId> {
         let mut waiting: Vec<(&GatewayId, &OutstandingPing)> = self
             .pings
--- a/crates/membership/src/partition_side.rs
+++ b/crates/membership/src/partition_side.rs
@@ -1,34 +1,37 @@
-//! Which side of a network partition this gateway is on, judged by its view and by the answers to its own pings.
+//! Estimates from the view and from the answers to this gateway's own pings which side of a network partition it is on.
 
 use std::collections::VecDeque;
 
-/// How many of its own last pings a gateway judges its side by.
+/// Number of a gateway's most recent pings whose outcomes count for its side of a partition.
 pub const RECENT_PINGS: usize = 16;
 
-/// Which side of a partition this gateway is on, as far as it can tell.
+/// The counts by which a gateway estimates which side of a network partition it is on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PartitionSide {
-    /// Members alive in the view, this one included; suspect members are not counted.
+    /// Number of members alive in the view, this gateway included; suspect members are not counted.
     pub reachable: u32,
-    /// Gateways in the fleet's list.
+    /// Number of gateways in the fleet's list.
     pub fleet_size: u32,
-    /// How many of the last [`RECENT_PINGS`] members pinged by this gateway answered in their first round.
+    /// How many of the `recent_pings` were answered in their first round.
     pub answered_pings: u32,
-    /// How many members were pinged, up to [`RECENT_PINGS`].
+    /// Number of this gateway's scheduled pings that are taken into account; at most [`RECENT_PINGS`].
     pub recent_pings: u32,
 }
 
 impl PartitionSide {
-    /// Whether more than half of the fleet is reachable: only such a side may claim leases, which need a majority.
+    /// Returns whether this side has a majority: more than half of the fleet is reachable. Only such a side may claim
+    /// leases.
     ///
-    /// Half of the gateway's own recent pings must have been answered too. In a large fleet it takes many periods until
-    /// the view holds down all members behind a partition, while the gateway's own pings fail from the start.
+    /// In addition, at least half of the gateway's own recent pings must have been answered. In a large fleet it takes
+    /// many protocol periods until all members on the other side of a partition are down in the view, while the
+    /// gateway's own pings to them fail from the start.
     #[must_use]
     pub const fn has_majority(&self) -> bool {
         2 * self.reachable > self.fleet_size && 2 * self.answered_pings >= self.recent_pings
     }
 
-    /// Whether no other member is reachable: the gateway then acts as it does with sharing turned off.
+    /// Returns whether no other member is reachable, or none of the last [`RECENT_PINGS`] pings was answered. The
+    /// gateway then behaves as if sharing between gateways were turned off.
     #[must_use]
     pub const fn is_alone(&self) -> bool {
         self.reachable <= 1
@@ -36,7 +39,7 @@
     }
 }
 
-/// The outcome of the first round of pings to one member.
+/// The outcome of the first round of a scheduled ping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PingOutcome {
     Answered,
@@ -55,13 +58,13 @@
         self.0.push_back(outcome);
     }
 
-    /// How many of the pings were answered; at most [`RECENT_PINGS`].
+    /// Returns how many of the recorded pings were answered; at most [`RECENT_PINGS`].
     pub(crate) fn answered(&self) -> u32 {
         let answered = |outcome: &&PingOutcome| **outcome == PingOutcome::Answered;
         self.0.iter().filter(answered).count() as u32
     }
 
-    /// How many pings are recorded; at most [`RECENT_PINGS`].
+    /// Returns how many pings are recorded; at most [`RECENT_PINGS`].
     pub(crate) fn len(&self) -> u32 {
         self.0.len() as u32
     }
--- a/crates/membership/src/relayed_pings.rs
+++ b/crates/membership/src/relayed_pings.rs
@@ -4,7 +4,7 @@
 use irisrouter_cluster_types::GatewayId;
 use std::collections::VecDeque;
 
-/// How many relayed pings without an ack are remembered, at most: the oldest is dropped for a new one.
+/// Maximum number of relayed pings without an ack that are remembered. A new one replaces the oldest.
 const MAX_RELAYED_PINGS: usize = 64;
 
 /// A ping that was sent at the request of another member.
@@ -14,9 +14,9 @@
     pub sequence: SequenceNumber,
     /// The member that was pinged.
     pub target: GatewayId,
-    /// The member that requested it.
+    /// The member that requested the ping.
     pub requester: GatewayId,
-    /// The sequence number of the request.
+    /// The sequence number of the ping request, which is returned in the indirect ack.
     pub requester_sequence: SequenceNumber,
 }
 
@@ -32,7 +32,7 @@
         self.0.push_back(ping);
     }
 
-    /// Removes and returns the relayed ping that this ack of `target` answers.
+    /// Removes and returns the relayed ping that is answered by the ack of `target` with this sequence number.
     pub(crate) fn take_answered(
         &mut self,
         target: GatewayId,
--- a/crates/membership/src/serial_number.rs
+++ b/crates/membership/src/serial_number.rs
@@ -1,8 +1,9 @@
-//! Numbers that wrap at 2^16 and are compared in serial-number arithmetic (RFC 1982): generations, incarnations and the
+//! 16-bit numbers that wrap and are compared in serial-number arithmetic (RFC 1982): generations, incarnations and the
 //! sequence numbers of pings.
 //!
-//! Two processes of one gateway (before and after a restart) differ in the generation, and the later one wins; also where
-//! the gateway restarted 65,535 times, as the comparison continues across the wrap.
+//! Two processes of one gateway, before and after a restart, differ in their generation, and the later one takes
+//! precedence if it is less than 2^15 generations later. This also holds when the generation wraps from 65,535 to 0,
+//! because the comparison continues across the wrap.
 
 use irisrouter_cluster_types::Generation;
 use std::cmp::Ordering;
@@ -10,23 +11,23 @@
 
 /// A 16-bit number that wraps. Its order is that of [`compare_serial`], which is not transitive.
 pub trait SerialNumber: Copy {
-    /// The plain number.
+    /// Returns the number as an integer.
     #[must_use]
     fn value(self) -> u16;
 
-    /// The number that follows; 0 follows the largest.
+    /// Returns the next number; 0 follows the largest.
     #[must_use]
     fn next(self) -> Self;
 
-    /// Compares by [`compare_serial`].
+    /// Compares two numbers with [`compare_serial`].
     #[must_use]
     fn compare_serial(self, other: Self) -> Ordering {
         compare_serial(self.value(), other.value())
     }
 }
 
-/// Compares two 16-bit serial numbers (RFC 1982). At the distance of exactly 2^15, which the RFC leaves undefined, the
-/// result is `Less`.
+/// Compares two 16-bit serial numbers (RFC 1982). If they are exactly 2^15 apart, for which the RFC leaves the order
+/// undefined, the result is `Less`.
 #[must_use]
 pub fn compare_serial(left: u16, right: u16) -> Ordering {
     match left.wrapping_sub(right) {
@@ -45,12 +46,12 @@
     pub const FIRST: Self = Self(0);
 }
 
-/// The sequence number of a ping or of a ping request, by which an ack is matched with it.
+/// The sequence number of a ping or a ping request; acks are matched with it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub struct SequenceNumber(pub u16);
 
 impl SequenceNumber {
-    /// How many numbers this one is after another, across the wrap.
+    /// Returns how many steps after `earlier` this number is, counted across the wrap.
     #[must_use]
     pub const fn distance_from(self, earlier: Self) -> u16 {
         self.0.wrapping_sub(earlier.0)
@@ -73,7 +74,7 @@
 
 serial_number!(Generation, Incarnation, SequenceNumber);
 
-/// The plain number, as log lines and the console show it.
+/// Formats the number as an integer, for log lines and the console.
 impl fmt::Display for Incarnation {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         self.0.fmt(formatter)
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,57 +1,62 @@
 //! The timings of membership, derived from the size of the fleet.
 //!
-//! Defaults follow SWIM as memberlist's LAN profile sets it. The suspicion time has a floor of three protocol periods
-//! beyond the longest stall that must not count as death (`max_stall`), so a process that was paused for that long is
-//! suspected and answers, rather than being declared down. Suspicion is counted in rounds without an answer, one for
-//! each period, and not in time: a process that was paused itself has pinged nobody meanwhile.
+//! The defaults follow the LAN profile of HashiCorp's memberlist. The suspicion time is at least three protocol periods
+//! longer than `max_stall`, the longest stall of a process that must not lead to a verdict. A process that was paused
+//! for that long therefore becomes suspect and then answers, and is not declared down. Suspicion is counted in rounds
+//! without an answer, one per period, and not in elapsed time, because an observer that was paused itself has sent no
+//! pings during its pause.
 
 use irisrouter_cluster_types::Milliseconds;
 use thiserror::Error;
 
-/// Periods that the detection bound allows for the first round of pings to a crashed member: five until it starts, and
-/// one for the round.
+/// Protocol periods that the detection bound allows for the first round of pings to a crashed member: five until the
+/// round starts, and one for the round itself.
 const DETECTION_PERIODS: u64 = 6;
-/// Periods in which the report of a crash spreads, for each digit of the fleet's size.
+/// Protocol periods that the detection bound allows for the dissemination of a verdict, for each decimal digit of the
+/// fleet's size.
 const DISSEMINATION_PERIODS_PER_DIGIT: u64 = 3;
 
 /// Settings of one member.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The number of gateways in the fleet's list, this one included; determines suspicion and dissemination.
+    /// Number of gateways in the fleet's list, this one included. [`Settings::for_fleet`] derives the suspicion time
+    /// from it, and the number of transmissions of each change depends on it.
     pub fleet_size: u32,
     /// The protocol period: one member is pinged in each.
     pub protocol_period: Milliseconds,
-    /// How long to wait for an ack before other members are asked to ping; after as long again a third ping is sent.
+    /// Time from the first ping of a round until other members are asked to ping, if no ack has arrived. A third ping
+    /// is sent after the same time again.
     pub ping_timeout: Milliseconds,
-    /// How many members are asked to ping indirectly.
+    /// Number of members that are asked to ping a member that did not ack.
     pub indirect_pings: usize,
-    /// A pause of a process this long must end in suspicion and refutation, not in a verdict.
+    /// The longest pause of a process that must lead to a suspicion only, and not to a verdict.
     pub max_stall: Milliseconds,
-    /// How long a suspect member stays suspect before it is declared down: at least `4 * max(1, log10 fleet_size)`
-    /// periods, and at least `max_stall` plus three periods.
+    /// Time from the suspicion of a member until it is declared down: at least `4 * max(1, log10 fleet_size)` protocol
+    /// periods, and at least `max_stall` plus three protocol periods.
     pub suspicion: Milliseconds,
-    /// The interval at which one member that is not alive in the view is sent a join: this heals partitions and finds
-    /// restarted members.
+    /// Interval at which a join is sent to one member that is unknown or down in the view. This heals partitions and
+    /// finds restarted members.
     pub rejoin_interval: Milliseconds,
-    /// The interval at which updates are sent to `gossip_fanout` members, besides those carried on pings.
+    /// Interval at which updates are sent to `gossip_fanout` members, in addition to those piggybacked on other
+    /// messages.
     pub gossip_interval: Milliseconds,
-    /// How many members each gossip goes to.
+    /// Number of members to which each gossip is sent.
     pub gossip_fanout: usize,
-    /// How often each member transmits a change, for each digit of the fleet's size.
+    /// Number of times that each member transmits a change, for each decimal digit of the fleet's size.
     pub transmissions_per_digit: u8,
 }
 
-/// Why settings do not pass [`Settings::check`].
+/// Error of [`Settings::check`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The setting, by the name that operators know.
+    /// Name of the setting, as operators know it.
     pub field: &'static str,
-    /// What is wrong with its value.
+    /// Why its value is invalid.
     pub reason: SettingsErrorReason,
 }
 
-/// What is wrong with the value of a setting.
+/// Why the value of a setting is invalid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SettingsErrorReason {
     /// The value is zero.
@@ -63,19 +68,20 @@
     /// The gossip interval is longer than the rejoin interval.
     #[error("must not be longer than rejoin_ms, to which joins back off")]
     GossipLongerThanRejoin,
-    /// The suspicion time does not outlast a stall.
+    /// The suspicion time is not longer than the longest stall, `max_stall`.
     #[error("must be longer than stall_ms, or a stall is taken for death")]
     SuspicionNotLongerThanStall,
 }
 
 impl Settings {
-    /// Settings for a fleet of this many gateways, with a protocol period of one second that survive stalls up to 2 s.
+    /// Returns the settings for a fleet of `fleet_size` gateways, with a protocol period of one second. A stall of up
+    /// to 2 s leads to a suspicion, not to a verdict.
     #[must_use]
     pub fn for_fleet(fleet_size: u32) -> Self {
         let protocol_period = Milliseconds(1_000);
         let max_stall = Milliseconds(2_000);
         let log = f64::from(fleet_size.max(1)).log10().max(1.0);
-        // Rounded to whole milliseconds; log10 of a u32 is at most 9.7, so the product is small and finite.
+        // The cast can't overflow: log10 of a u32 is at most 9.7, so the product is small and finite.
         let suspicion_by_size_ms = (4.0 * log * protocol_period.0 as f64).round() as u64;
         let min_suspicion = max_stall + protocol_period * 3;
         Self {
@@ -92,7 +98,8 @@
         }
     }
 
-    /// Settings with this protocol period, every other time scaled with it, that survive stalls up to `max_stall`.
+    /// Returns settings with the given protocol period. All other times are scaled in proportion to it, except that
+    /// `suspicion` is long enough for stalls of up to `max_stall`.
     #[must_use]
     pub fn paced(fleet_size: u32, protocol_period: Milliseconds, max_stall: Milliseconds) -> Self {
         let defaults = Self::for_fleet(fleet_size);
@@ -116,7 +123,7 @@
     ///
     /// # Errors
     ///
-    /// A setting is zero, or two times are not in the order that they must have: the first such setting found.
+    /// Returns the first setting found that is zero, or that is longer or shorter than another setting permits.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_positive()?;
         self.check_order()
@@ -164,13 +171,14 @@
         Ok(())
     }
 
-    /// The time within which every running member has seen a crash:
+    /// Returns the upper bound on the time from a crash until all running members consider the crashed member down:
     /// `suspicion + (6 + 3 * digits(fleet_size)) * protocol_period`.
     ///
-    /// Some member pings the crashed one within five periods (each member misses it with a chance of `1/e` in a period,
-    /// all together for longer in one of 150 runs), and its first round takes one. Then the suspicion runs out, and the
-    /// report spreads in steps that grow with log10 of the fleet's size, each with the period in which a member pings
-    /// for itself. Tests and measurements hold the core to this bound.
+    /// Some member pings the crashed one within five periods: the probability that no member does is `1/e` in each
+    /// period, so five periods are exceeded in about one of 150 runs. The first round of pings takes one more period.
+    /// Then the suspicion time elapses, and the verdict spreads in a number of steps that grows with log10 of the
+    /// fleet's size; each step includes the period in which the receiving member verifies the verdict by a ping of its
+    /// own. Tests and measurements check the core against this bound.
     #[must_use]
     pub fn detection_bound(&self) -> Milliseconds {
         let dissemination_periods = DISSEMINATION_PERIODS_PER_DIGIT * u64::from(self.digits());
@@ -178,30 +186,31 @@
         self.suspicion + self.protocol_period * periods
     }
 
-    /// The time within which the two sides of a healed partition come to one view: every
-    /// `rejoin_interval` a join is sent to a member that is not alive, and its answer then spreads as the report of a
-    /// crash does.
+    /// Returns the upper bound on the time from the end of a partition until the views of both sides agree: in each
+    /// `rejoin_interval` a member sends a join to one member that it considers down, and the answer is then
+    /// disseminated in the same way as a verdict.
     #[must_use]
     pub fn heal_bound(&self) -> Milliseconds {
         self.rejoin_interval * 4 + self.protocol_period * 5
     }
 
-    /// How many rounds in a row without an answer, after the first, declare a suspect member down; one round takes a
-    /// period.
+    /// Returns the number of consecutive rounds without an answer, after the first one, after which a suspect member is
+    /// declared down. One round takes one protocol period.
     #[must_use]
     pub fn suspicion_rounds(&self) -> u32 {
         let rounds = self.suspicion.0.div_ceil(self.protocol_period.0.max(1));
         u32::try_from(rounds).unwrap_or(u32::MAX)
     }
 
-    /// How often a member transmits a change: `transmissions_per_digit` for each digit of the fleet's size, so that a
-    /// change reaches all members of a larger fleet as surely.
+    /// Returns the number of times that a member transmits a change: `transmissions_per_digit` for each decimal digit
+    /// of the fleet's size, so that a change reaches all members of a large fleet with the same probability as in a
+    /// small one.
     #[must_use]
     pub fn max_transmissions(&self) -> u32 {
         u32::from(self.transmissions_per_digit.max(1)) * self.digits()
     }
 
-    /// The number of decimal digits of the fleet's size.
+    /// Returns the number of decimal digits of the fleet's size.
     fn digits(&self) -> u32 {
         self.fleet_size.max(1).ilog10() + 1
     }
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -6,18 +6,18 @@
 /// When each kind of periodic work is due next.
 #[derive(Debug, Clone)]
 pub(crate) struct Timers {
-    /// The ping of the next protocol period.
+    /// When the next scheduled ping starts.
     pub ping: Timestamp,
-    /// The next gossip, if there is something to pass on.
+    /// When the next gossip is sent, unless the dissemination queue is empty.
     pub gossip: Timestamp,
-    /// The next join to a member that is unknown or down.
+    /// When the next join is sent to a member that is unknown or down.
     pub rejoin: Timestamp,
-    /// The pause after the next rejoin; it doubles up to `rejoin_interval`.
+    /// Interval between the next rejoin and the one after it; doubles with each rejoin, up to `rejoin_interval`.
     rejoin_pause: Milliseconds,
 }
 
 impl Timers {
-    /// The timers of a member that starts at `now` and pings for the first time at `first_ping`.
+    /// Creates the timers of a member that starts at `now` and sends its first ping at `first_ping`.
     pub(crate) fn new(now: Timestamp, first_ping: Timestamp, settings: &Settings) -> Self {
         Self {
             ping: first_ping,
@@ -43,7 +43,7 @@
         self.rejoin_pause = (self.rejoin_pause * 2).min(settings.rejoin_interval);
     }
 
-    /// Ends the backoff: further rejoins follow at the full interval.
+    /// Ends the backoff; after the next rejoin, further ones follow at the full `rejoin_interval`.
     pub(crate) fn end_rejoin_backoff(&mut self, settings: &Settings) {
         self.rejoin_pause = settings.rejoin_interval;
     }
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -1,4 +1,4 @@
-//! Merging of what datagrams report about members into the view, by the rules of [`crate::merge_rules`].
+//! Merges the updates that datagrams carry into the view, by the rules of [`crate::merge_rules`].
 
 use crate::action::Action;
 use crate::codec::{Datagram, Message};
@@ -9,7 +9,7 @@
 use crate::view::{Liveness, MemberState};
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Generation};
 
-/// Whether the sender of an update knows less than this member.
+/// Whether the sender of an update has older information about a member than this gateway has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum SenderKnowledge {
     UpToDate,
@@ -17,7 +17,7 @@
 }
 
 impl Membership {
-    /// Merges the source of a datagram into the view, and returns whether its updates are used.
+    /// Merges the source of a datagram into the view, and returns whether its updates and requests are accepted.
     pub(crate) fn process_source(
         &mut self,
         source: GatewayProcess,
@@ -42,7 +42,8 @@
         SourceTrust::Trusted
     }
 
-    /// Sends a member its own row, which outranks the process or incarnation that it runs as.
+    /// Sends a member its own row of this view, so that it learns that the fleet knows a later process or considers it
+    /// down.
     fn notify_outranked(&mut self, row: &MemberState) {
         let update = MemberUpdate {
             process: row.process,
@@ -52,12 +53,13 @@
         self.send_with_updates(row.process.gateway, Message::Gossip, vec![update]);
     }
 
-    /// Merges the updates of a datagram, and corrects its source where that knows less.
+    /// Merges the updates of a datagram, and sends the source the newer rows of members on which it is outdated.
     pub(crate) fn process_updates(&mut self, datagram: &Datagram, trust: SourceTrust) {
         let source = datagram.source.gateway;
         let mut corrections = Vec::new();
         for update in &datagram.updates {
-            // Updates about this member itself are taken from anybody: whoever holds it down has to be corrected.
+            // Updates about this member itself are accepted from any source, so that it can refute the report of every
+            // member that considers it down.
             let is_about_self = update.process.gateway == self.local.process.gateway;
             if !is_about_self && trust == SourceTrust::Untrusted {
                 continue;
@@ -71,7 +73,7 @@
         }
     }
 
-    /// Merges an update about any member.
+    /// Merges an update about this member or another one.
     fn process_update(&mut self, update: &MemberUpdate, sender: GatewayId) -> SenderKnowledge {
         let gateway = update.process.gateway;
         if gateway == self.local.process.gateway {
@@ -93,7 +95,7 @@
         SenderKnowledge::UpToDate
     }
 
-    /// Makes the row of a third member what the update says.
+    /// Sets the row of another member to the state that the update reports.
     fn apply_update(&mut self, update: &MemberUpdate) {
         let liveness = if update.down {
             Liveness::Down
@@ -105,7 +107,7 @@
         self.dissemination.add(update.process.gateway);
     }
 
-    /// Refutes an update about this member, or continues as a later generation, where the rules ask for it.
+    /// Processes an update about this member itself: refutes it or takes a later generation, as the merge rules decide.
     fn process_update_about_self(&mut self, update: &MemberUpdate, sender: GatewayId) {
         let local = &self.local;
         match merge_rules::merge_update_about_self(local.process, local.incarnation, update) {
@@ -122,19 +124,19 @@
             }
         }
         self.dissemination.add(self.local.process.gateway);
-        // The sender gets the answer at once, from the member itself.
+        // The sender receives the refutation immediately, without waiting for the next gossip.
         self.send(sender, Message::Gossip);
     }
 
-    /// Whether this member has continued as a later generation within the last suspicion time. Without this pause two
-    /// processes with the same number would outrank each other without end.
+    /// Returns whether this member took a later generation within the last suspicion time. Without this pause, two
+    /// processes that were started with the same gateway number would outrank each other endlessly.
     fn renewed_recently(&self) -> bool {
         let pause = self.settings.suspicion;
         let renewed_at = self.local.renewed_at;
         renewed_at.is_some_and(|renewed_at| self.now < renewed_at + pause)
     }
 
-    /// Continues as this generation.
+    /// Takes a later generation, in its first incarnation.
     fn renew(&mut self, generation: Generation) {
         self.local.renewed_at = Some(self.now);
         self.local.process.generation = generation;
@@ -143,8 +145,8 @@
         self.actions.push(Action::Renewed(self.local.process));
     }
 
-    /// What this member reports about another, or about itself. A suspect member is reported as it was known before the
-    /// suspicion: that outranks nothing. `None` for one that is not known.
+    /// Returns the update that this member sends about a member, or about itself. A suspect member is reported alive in
+    /// its last known incarnation, which does not outrank any other update. Returns `None` for an unknown member.
     pub(crate) fn update_about(&self, gateway: GatewayId) -> Option<MemberUpdate> {
         if gateway == self.local.process.gateway {
             return Some(MemberUpdate {
--- a/crates/membership/src/view.rs
+++ b/crates/membership/src/view.rs
@@ -1,4 +1,4 @@
-//! The view that one gateway has of the fleet: one row for each member, with the times of the last changes.
+//! One gateway's view of the fleet: one row per member, with the time of its last change.
 
 use crate::serial_number::Incarnation;
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Timestamp};
@@ -6,7 +6,7 @@
 /// The state of a member in this gateway's view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Liveness {
-    /// Nothing has been received from or about the member yet.
+    /// No datagram from the member and no report about it has been received yet.
     Unknown,
     /// The member answered, or was reported alive by another member.
     Alive,
@@ -18,7 +18,7 @@
 }
 
 impl Liveness {
-    /// The name used in logs and on the console.
+    /// Returns the name that is used in the log and on the console.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -30,23 +30,23 @@
     }
 }
 
-/// One row of the view: what is known of one member.
+/// One row of the view: the known state of one member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberState {
     /// The member and the latest known generation of its process; generation 0 while unknown.
     pub process: GatewayProcess,
-    /// Its state.
+    /// Whether the member is alive, suspect or down, as far as this gateway knows.
     pub liveness: Liveness,
     /// The latest known incarnation, which the member raises with each refutation.
     pub incarnation: Incarnation,
     /// When the liveness or the generation last changed.
     pub since: Timestamp,
-    /// When a datagram sent by the member itself last arrived; `None` if none has.
+    /// When the last datagram from the member itself arrived; `None` if none has arrived.
     pub last_received: Option<Timestamp>,
 }
 
 impl MemberState {
-    /// The row of a member of which nothing is known.
+    /// Returns the row of a member about which nothing is known yet.
     const fn unknown(gateway: GatewayId) -> Self {
         Self {
             process: GatewayProcess::first(gateway),
@@ -58,19 +58,19 @@
     }
 }
 
-/// A change of one member's liveness, for the log and the counters: one for each change of state, never one for each
-/// message.
+/// A change of one member's liveness, for the log and the counters. A message that does not change the liveness
+/// produces none.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LivenessChange {
-    /// The member, with the generation now known.
+    /// The member, with its latest known generation after the change.
     pub process: GatewayProcess,
-    /// The state before.
+    /// The liveness before the change.
     pub from: Liveness,
-    /// The state after.
+    /// The liveness after the change.
     pub to: Liveness,
-    /// The incarnation now known.
+    /// The member's latest known incarnation after the change.
     pub incarnation: Incarnation,
-    /// When the change was made.
+    /// When the view changed.
     pub at: Timestamp,
 }
 
@@ -78,7 +78,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct View {
     local: GatewayProcess,
-    /// By the numbers of the members.
+    /// The rows, indexed by the gateways' numbers.
     members: Vec<MemberState>,
 }
 
@@ -91,13 +91,13 @@
         view
     }
 
-    /// This process.
+    /// Returns this gateway and its current generation.
     #[must_use]
     pub const fn local_process(&self) -> GatewayProcess {
         self.local
     }
 
-    /// Restarts the row of this gateway as this process, at time `now`.
+    /// Resets the row of this gateway to the process `local`, alive since `now`.
     pub(crate) fn set_local(&mut self, local: GatewayProcess, now: Timestamp) {
         self.local = local;
         if let Some(member) = self.member_mut(local.gateway) {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// The row of a member; `None` outside the fleet's list.
+    /// Returns the row of a member; `None` if `gateway` is not in the fleet's list.
     #[must_use]
     pub fn member(&self, gateway: GatewayId) -> Option<&MemberState> {
         self.members.get(gateway.0 as usize)
@@ -120,25 +120,26 @@
         self.members.get_mut(gateway.0 as usize)
     }
 
-    /// Whether a member has this liveness.
-    pub(crate) fn is(&self, gateway: GatewayId, liveness: Liveness) -> bool {
+    /// Returns whether a member has this liveness.
+    pub(crate) fn has_liveness(&self, gateway: GatewayId, liveness: Liveness) -> bool {
         self.member(gateway)
             .is_some_and(|member| member.liveness == liveness)
     }
 
-    /// All rows, in order of the members' numbers.
+    /// Returns all rows, ordered by the gateways' numbers.
     pub fn members(&self) -> impl Iterator<Item = &MemberState> {
         self.members.iter()
     }
 
-    /// Whether reports from a member are used: not once it is declared down, nor from outside the list.
+    /// Returns whether reports from a member are used: reports from members that are down in the view and from gateways
+    /// outside the fleet's list are not.
     #[must_use]
     pub fn accepts_from(&self, gateway: GatewayId) -> bool {
         self.member(gateway)
             .is_some_and(|member| member.liveness != Liveness::Down)
     }
 
-    /// The number of members alive, this gateway included.
+    /// Returns the number of members that are alive, this gateway included.
     #[must_use]
     pub fn alive_count(&self) -> u32 {
         let alive = self
@@ -149,21 +150,21 @@
         u32::try_from(alive).unwrap_or(u32::MAX)
     }
 
-    /// The number of members in the fleet's list.
+    /// Returns the number of gateways in the fleet's list.
     #[must_use]
     pub fn fleet_size(&self) -> u32 {
         u32::try_from(self.members.len()).unwrap_or(u32::MAX)
     }
 
-    /// Records that a datagram sent by the member itself arrived.
+    /// Records that a datagram from the member itself arrived.
     pub(crate) fn record_received(&mut self, gateway: GatewayId, now: Timestamp) {
         if let Some(member) = self.member_mut(gateway) {
             member.last_received = Some(now);
         }
     }
 
-    /// Sets the row of another member, as [`crate::merge_rules`] decided, and returns the change of its liveness, if
-    /// there is one.
+    /// Sets the row of another member according to a decision of [`crate::merge_rules`], and returns the change of its
+    /// liveness. Returns `None` if the liveness did not change, or for this gateway itself.
     pub(crate) fn set(
         &mut self,
         process: GatewayProcess,
