--- a/crates/membership/simulated-network/src/decision_digest.rs
+++ b/crates/membership/simulated-network/src/decision_digest.rs
@@ -1,8 +1,8 @@
-//! A digest of everything that the members of a simulated fleet decide.
+//! A digest of all decisions of the members of a simulated fleet.
 //!
-//! It covers each datagram byte by byte, each change of a view, each refutation and renewal, and when each member has
-//! work next, in order. Two versions of the core that give the same digest for the same run have decided alike
-//! throughout it, with the same random numbers drawn in the same order.
+//! The digest covers, in order, the bytes of each datagram, each change of a view, each refutation and renewal, and the
+//! time at which each member next has work. If two versions of the core yield the same digest for the same run, they
+//! made the same decisions throughout it, with the same random numbers drawn in the same order.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Timestamp};
 use irisrouter_membership::{Action, LivenessChange, MemberState, Membership};
@@ -26,7 +26,7 @@
 }
 
 impl DecisionDigest {
-    /// The value.
+    /// Returns the digest as a number.
     #[must_use]
     pub const fn value(self) -> u64 {
         self.0
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Adds what a member did in one call at time `now`.
+    /// Adds the actions of one call of a member at time `now`, and the time at which it next has work.
     pub(crate) fn add_call(
         &mut self,
         now: Timestamp,
@@ -92,7 +92,7 @@
         self.add(&process.generation.0.to_be_bytes());
     }
 
-    /// Adds the view of a member and the side of a partition that it takes itself to be on.
+    /// Adds the view of a member and its estimate of the side of a partition that it is on.
     pub(crate) fn add_view(&mut self, member: GatewayId, core: &Membership) {
         let side = core.partition_side();
         let counts = [
@@ -120,7 +120,6 @@
         self.add(&last_received.as_millis().to_be_bytes());
     }
 
-    /// Adds a count.
     pub(crate) fn add_count(&mut self, count: u64) {
         self.add(&count.to_be_bytes());
     }
--- a/crates/membership/simulated-network/src/lib.rs
+++ b/crates/membership/simulated-network/src/lib.rs
@@ -1,9 +1,10 @@
-//! A simulated network of members for tests and measurements of `irisrouter-membership`: seeded, in virtual time, with
-//! the faults that a fleet meets. The testbed checks the same with real processes on loopback; this does not replace it.
+//! A simulated network of gateways for tests and measurements of `irisrouter-membership`. It runs in virtual time, and
+//! a run is determined by its seed. The testbed runs the same checks with real processes on loopback, which this crate
+//! does not replace.
 //!
-//! Faults: a share of datagrams lost, delays drawn from a range, cuts in one or both directions, partitions, a stalled
-//! process (its socket keeps up to [`SOCKET_CAPACITY`] datagrams, as a kernel's buffer would), a crash, and a restart as
-//! a new generation.
+//! The simulated faults are the random loss of datagrams, random delays, cut links in one or both directions,
+//! partitions, stalled processes (the socket of each buffers up to [`SOCKET_CAPACITY`] datagrams, like a kernel's
+//! receive buffer), crashes, and restarts as a new generation.
 
 #![forbid(unsafe_code)]
 
--- a/crates/membership/simulated-network/src/member_process.rs
+++ b/crates/membership/simulated-network/src/member_process.rs
@@ -1,27 +1,27 @@
-//! The process that runs one member: running, stalled or crashed.
+//! The simulated process of one gateway, which is running, stalled or crashed.
 
 use irisrouter_cluster_types::GatewayProcess;
 use irisrouter_membership::Membership;
 
-/// How many datagrams the socket of a stalled process holds; more are lost.
+/// Maximum number of datagrams that the socket of a stalled process buffers; further ones are lost.
 pub const SOCKET_CAPACITY: usize = 256;
 
-/// One process of the fleet.
+/// The simulated process of one gateway.
 pub(crate) enum MemberProcess {
     Running(Box<Membership>),
-    /// Stopped without having ended, as by SIGSTOP.
+    /// The process is suspended, as by SIGSTOP.
     Stalled(StalledMember),
     Crashed(GatewayProcess),
 }
 
-/// A stalled process and the datagrams that wait in its socket, in order of arrival.
+/// A stalled process and the datagrams that are buffered in its socket, in order of arrival.
 pub(crate) struct StalledMember {
     pub core: Box<Membership>,
     pub socket: Vec<Vec<u8>>,
 }
 
 impl MemberProcess {
-    /// The core, unless the process has crashed.
+    /// Returns the core of a running or stalled process; `None` if the process has crashed.
     pub(crate) fn core(&self) -> Option<&Membership> {
         match self {
             Self::Running(core) => Some(core),
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The core, if the process runs.
+    /// Returns the core if the process is running.
     pub(crate) fn running(&self) -> Option<&Membership> {
         match self {
             Self::Running(core) => Some(core),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The core, if the process runs.
+    /// Returns the core if the process is running.
     pub(crate) fn running_mut(&mut self) -> Option<&mut Membership> {
         match self {
             Self::Running(core) => Some(core),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Which process it is, or was when it crashed.
+    /// Returns the gateway and its generation; after a crash, the generation of the crashed process.
     pub(crate) fn identity(&self) -> GatewayProcess {
         match self {
             Self::Running(core) => core.local_process(),
@@ -60,7 +60,7 @@
         std::mem::replace(self, crashed)
     }
 
-    /// Stalls the process, if it runs.
+    /// Suspends the process if it is running.
     pub(crate) fn stall(&mut self) {
         *self = match self.take() {
             Self::Running(core) => Self::Stalled(StalledMember {
@@ -71,7 +71,7 @@
         };
     }
 
-    /// Lets the process run again, if it is stalled, and returns the datagrams that wait in its socket.
+    /// Resumes the process and returns the datagrams that are buffered in its socket; `None` if it is not stalled.
     pub(crate) fn resume(&mut self) -> Option<Vec<Vec<u8>>> {
         match self.take() {
             Self::Stalled(stalled) => {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Ends the process at once.
+    /// Ends the process immediately.
     pub(crate) fn crash(&mut self) {
         *self = Self::Crashed(self.identity());
     }
--- a/crates/membership/simulated-network/src/network.rs
+++ b/crates/membership/simulated-network/src/network.rs
@@ -15,19 +15,19 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::ops::RangeInclusive;
 
-/// The step in which [`SimulatedNetwork::settle`] looks at the views.
+/// Interval at which [`SimulatedNetwork::settle`] compares the views.
 const SETTLE_STEP: Milliseconds = Milliseconds(100);
 
-/// A datagram on its way; ordered by the time of its arrival, then by the order of sending.
+/// A datagram in flight. The derived order, by arrival and then by sending, is the order of delivery.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DatagramInFlight {
     arrival: Timestamp,
-    order: u64,
+    send_order: u64,
     to: GatewayId,
     bytes: Vec<u8>,
 }
 
-/// One direction between two members.
+/// The path of datagrams from one member to another, in one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: GatewayId,
@@ -37,9 +37,9 @@
 /// The faults of the network.
 #[derive(Debug, Clone)]
 pub struct NetworkFaults {
-    /// The share of datagrams lost, 0 to 1.
+    /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// The delay of a datagram in milliseconds, drawn evenly from this range.
+    /// Delay of a datagram in milliseconds, drawn uniformly from this range.
     pub delay_ms: RangeInclusive<u64>,
     /// The links whose datagrams are dropped.
     cuts: BTreeSet<Link>,
@@ -49,34 +49,35 @@
 pub struct SimulatedNetwork {
     processes: Vec<MemberProcess>,
     in_flight: BinaryHeap<Reverse<DatagramInFlight>>,
-    datagrams_carried: u64,
+    datagrams_sent: u64,
     rng: SmallRng,
     seed: u64,
     settings: Settings,
     now: Timestamp,
     /// The faults in force.
     pub faults: NetworkFaults,
-    /// What has happened so far.
+    /// The record of the run so far.
     pub record: NetworkRecord,
 }
 
 impl SimulatedNetwork {
-    /// `fleet_size` members with the settings for that size, each joined to member 0 and to one other.
+    /// Starts `fleet_size` members with the default settings for that size. Each sends a join to member 0 and to a
+    /// random member.
     ///
     /// # Panics
     ///
-    /// Never for a size of at least 1: settings for a fleet pass their own check.
+    /// Does not panic for a `fleet_size` of at least 1, because the default settings pass their own check.
     #[must_use]
     pub fn start(fleet_size: u32, seed: u64) -> Self {
         let network = Self::with_settings(Settings::for_fleet(fleet_size), seed);
         network.expect("settings for a fleet pass their check")
     }
 
-    /// As [`SimulatedNetwork::start`], with these settings.
+    /// Starts a fleet like [`SimulatedNetwork::start`], but with the given settings.
     ///
     /// # Errors
     ///
-    /// The settings do not pass their check.
+    /// Returns an error if the settings do not pass [`Settings::check`].
     pub fn with_settings(settings: Settings, seed: u64) -> Result<Self, MembershipError> {
         let fleet_size = settings.fleet_size;
         let start = |number| -> Result<MemberProcess, MembershipError> {
@@ -91,7 +92,7 @@
         let mut network = Self {
             processes,
             in_flight: BinaryHeap::new(),
-            datagrams_carried: 0,
+            datagrams_sent: 0,
             rng: SmallRng::seed_from_u64(seed),
             seed,
             settings,
@@ -110,7 +111,7 @@
         Ok(network)
     }
 
-    /// The time now.
+    /// Returns the current virtual time.
     #[must_use]
     pub const fn now(&self) -> Timestamp {
         self.now
@@ -124,38 +125,39 @@
         self.processes.get_mut(member.0 as usize)
     }
 
-    /// All members of the fleet, in ascending order.
+    /// Returns all gateways of the fleet, in ascending order.
     fn members(&self) -> impl Iterator<Item = GatewayId> {
         (0..self.settings.fleet_size).map(GatewayId)
     }
 
-    /// The view of a member, if it runs or is stalled.
+    /// Returns the view of a running or stalled member; `None` if it has crashed.
     #[must_use]
     pub fn view(&self, member: GatewayId) -> Option<&View> {
         self.process(member)?.core().map(Membership::view)
     }
 
-    /// The side of a partition that a member takes itself to be on, if it runs or is stalled.
+    /// Returns a running or stalled member's estimate of the side of a partition that it is on; `None` if it has
+    /// crashed.
     #[must_use]
     pub fn partition_side(&self, member: GatewayId) -> Option<PartitionSide> {
         self.process(member)?.core().map(Membership::partition_side)
     }
 
-    /// Whether a member runs: it has neither stalled nor crashed.
+    /// Returns whether a member is running: it is neither stalled nor crashed.
     #[must_use]
     pub fn is_running(&self, member: GatewayId) -> bool {
         let process = self.process(member);
         process.is_some_and(|process| process.running().is_some())
     }
 
-    /// The liveness of a member in the view of another.
+    /// Returns the liveness of `member` in the view of `observer`; `None` if `observer` has crashed.
     #[must_use]
     pub fn liveness(&self, observer: GatewayId, member: GatewayId) -> Option<Liveness> {
         let row = self.view(observer)?.member(member)?;
         Some(row.liveness)
     }
 
-    /// The digest of all decisions so far, of the views as they are, and of the counts of the record.
+    /// Returns the digest of all decisions so far, the current views, and the counts of the record.
     #[must_use]
     pub fn decision_digest(&self) -> DecisionDigest {
         let mut digest = self.record.decisions;
@@ -174,12 +176,12 @@
         digest
     }
 
-    /// Drops datagrams in one direction.
+    /// Drops all further datagrams from one member to another, in this direction only.
     pub fn cut(&mut self, from: GatewayId, to: GatewayId) {
         self.faults.cuts.insert(Link { from, to });
     }
 
-    /// Drops datagrams between the two sides, in both directions.
+    /// Drops all further datagrams between the two sides, in both directions.
     pub fn partition(&mut self, left: &[GatewayId], right: &[GatewayId]) {
         for &left_member in left {
             for &right_member in right {
@@ -189,46 +191,46 @@
         }
     }
 
-    /// Removes every cut.
+    /// Restores all links that were cut.
     pub fn heal(&mut self) {
         self.faults.cuts.clear();
     }
 
-    /// Stops a member without ending it, as SIGSTOP does.
+    /// Suspends a member, as SIGSTOP does.
     pub fn stall(&mut self, member: GatewayId) {
         if let Some(process) = self.process_mut(member) {
             process.stall();
         }
     }
 
-    /// Lets a stalled member continue: it reads what waits in its socket, then fires its overdue timers.
+    /// Resumes a stalled member: it reads the datagrams that are buffered in its socket, then its overdue timers fire.
     pub fn resume(&mut self, member: GatewayId) {
         let Some(socket) = self.process_mut(member).and_then(MemberProcess::resume) else {
             return;
         };
         for bytes in socket {
             self.run_member(member, |core, now| {
-                // Rejections are recorded only of datagrams that are delivered to a running member.
+                // The record holds rejections only of datagrams that were delivered to a running member.
                 let _ = core.receive(now, &bytes);
             });
         }
         self.run_member(member, Membership::advance);
     }
 
-    /// Ends a member at once; datagrams on their way to it are lost.
+    /// Ends a member immediately; datagrams in flight to it are lost.
     pub fn crash(&mut self, member: GatewayId) {
         if let Some(process) = self.process_mut(member) {
             process.crash();
         }
     }
 
-    /// Lets a member announce that it stops, and ends it.
+    /// Makes a member announce that it leaves the fleet, and ends it.
     pub fn leave(&mut self, member: GatewayId) {
         self.run_member(member, Membership::leave);
         self.crash(member);
     }
 
-    /// Starts a crashed member again as its next generation, joined to these peers.
+    /// Restarts a crashed member as its next generation; it sends a join to the given peers.
     pub fn restart(&mut self, member: GatewayId, peers: &[GatewayId]) {
         if let Some(&MemberProcess::Crashed(crashed)) = self.process(member) {
             let generation = crashed.generation.next();
@@ -240,7 +242,7 @@
         }
     }
 
-    /// Starts a member again as this process, joined to these peers.
+    /// Restarts a member with the generation of `process`; it sends a join to the given peers.
     pub fn restart_as(&mut self, process: GatewayProcess, peers: &[GatewayId]) {
         let member = process.gateway;
         let seed = self.seed ^ (u64::from(member.0) << 32) ^ u64::from(process.generation.0);
@@ -251,8 +253,8 @@
         self.run_member(member, |core, now| core.join(now, peers));
     }
 
-    /// Runs until every running member sees every other running member alive, and returns the time at which that was
-    /// seen; `None` if it does not come to that within `limit`.
+    /// Runs until all running members are alive in the views of all running members, and returns the time of the check
+    /// that found this; `None` if it does not happen within `limit`.
     pub fn settle(&mut self, limit: Milliseconds) -> Option<Timestamp> {
         let end = self.now + limit;
         while self.now < end {
@@ -275,7 +277,7 @@
             .all(|&observer| running.iter().all(|&member| sees(observer, member)))
     }
 
-    /// Runs until this time, delivering datagrams and firing timers in order of time.
+    /// Runs until the given time, delivering datagrams and firing timers in chronological order.
     pub fn run_until(&mut self, until: Timestamp) {
         loop {
             let arrival = self
@@ -297,7 +299,7 @@
         }
     }
 
-    /// When the next running member has work.
+    /// Returns the earliest time at which a running member has work.
     fn next_due(&self) -> Timestamp {
         self.processes
             .iter()
@@ -335,7 +337,7 @@
         }
     }
 
-    /// Runs a call on a member, if it runs, and carries out its actions.
+    /// Calls the core of a member, if it is running, and carries out the actions that result.
     fn run_member<Output>(
         &mut self,
         member: GatewayId,
@@ -351,14 +353,14 @@
         for action in actions {
             self.record.record_action(now, member, &action);
             if let Action::Send { to, bytes } = action {
-                self.carry(member, to, bytes);
+                self.transmit(member, to, bytes);
             }
         }
         Some(output)
     }
 
-    /// Carries a datagram, unless it is lost.
-    fn carry(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
+    /// Puts a datagram in flight, unless its link is cut or it is lost.
+    fn transmit(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         let length = bytes.len();
         assert!(length <= MAX_DATAGRAM_BYTES, "a datagram of {length} bytes");
         if self.faults.cuts.contains(&Link { from, to }) {
@@ -368,10 +370,10 @@
             return;
         }
         let delay_ms = self.rng.random_range(self.faults.delay_ms.clone());
-        self.datagrams_carried += 1;
+        self.datagrams_sent += 1;
         self.in_flight.push(Reverse(DatagramInFlight {
             arrival: self.now + Milliseconds(delay_ms),
-            order: self.datagrams_carried,
+            send_order: self.datagrams_sent,
             to,
             bytes,
         }));
--- a/crates/membership/simulated-network/src/record.rs
+++ b/crates/membership/simulated-network/src/record.rs
@@ -1,16 +1,16 @@
-//! What happened in a simulated run, for the checks of tests and for measurements.
+//! The record of a simulated run, for assertions in tests and for measurements.
 
 use crate::decision_digest::DecisionDigest;
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Timestamp};
 use irisrouter_membership::codec::{KINDS, KIND_OFFSET};
 use irisrouter_membership::{Action, Incarnation, LivenessChange, ReceiveError};
 
-/// What one member sent.
+/// The traffic sent by one member.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SentTraffic {
-    /// Datagrams.
+    /// Number of datagrams.
     pub datagrams: u64,
-    /// Bytes of these datagrams.
+    /// Total length of these datagrams, in bytes.
     pub bytes: u64,
 }
 
@@ -23,43 +23,43 @@
     pub change: LivenessChange,
 }
 
-/// A member learnt that it was held down, and refuted it.
+/// The refutation, by a member, of a report about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Refutation {
-    /// When.
+    /// When the member refuted the report.
     pub at: Timestamp,
-    /// The member.
+    /// The member that refuted the report.
     pub member: GatewayId,
-    /// Its new incarnation.
+    /// The new incarnation of the member.
     pub incarnation: Incarnation,
 }
 
-/// A member learnt that the fleet knew a later generation of it, and continued as the next.
+/// The change of a member to a later generation, after it was notified that the fleet knew a later one than its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Renewal {
-    /// When.
+    /// When the member changed its generation.
     pub at: Timestamp,
-    /// The process that it continues as.
+    /// The member and its new generation.
     pub process: GatewayProcess,
 }
 
 /// A datagram that a member rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RejectedDatagram {
-    /// When.
+    /// When the datagram was delivered.
     pub at: Timestamp,
-    /// The member that rejected it.
+    /// The member that rejected the datagram.
     pub member: GatewayId,
-    /// Why.
+    /// Why the member rejected the datagram.
     pub error: ReceiveError,
 }
 
-/// Everything that is recorded of a run.
+/// The record of a run.
 #[derive(Debug, Clone)]
 pub struct NetworkRecord {
-    /// What each member sent, by the number of its gateway.
+    /// The traffic sent by each member, indexed by the gateway's number.
     pub sent: Vec<SentTraffic>,
-    /// Datagrams sent by all members, by the kind of their message (ping 0 to leave 7).
+    /// Number of datagrams sent by all members, indexed by the kind of the message: 0 (ping) to 7 (leave).
     pub sent_by_kind: [u64; KINDS],
     /// Every change of every view.
     pub changes: Vec<ObservedChange>,
@@ -67,9 +67,9 @@
     pub refutations: Vec<Refutation>,
     /// Every renewal.
     pub renewals: Vec<Renewal>,
-    /// Every datagram that was rejected.
+    /// Every datagram that a running member rejected.
     pub rejections: Vec<RejectedDatagram>,
-    /// The digest of all decisions.
+    /// The digest of all calls and actions so far.
     pub decisions: DecisionDigest,
 }
 
