--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -1,5 +1,7 @@
-//! Measures membership on the simulated network: the time to detect a crash, false verdicts under loss, and datagrams and
-//! bytes of a gateway in a second by the size of the fleet. It does not run in CI:
+//! Measures membership on the simulated network, for several sizes of the fleet: the time to detect a crash, the false
+//! verdicts under loss, and the datagrams and bytes that a gateway sends per second.
+//!
+//! The measurement is not part of CI. Run it with
 //! `cargo run --release -p irisrouter-membership --example measure`; the results are in `docs/membership.md`.
 
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp};
@@ -7,25 +9,25 @@
 use irisrouter_membership::{Liveness, Settings};
 use irisrouter_simulated_network::{ObservedChange, SentTraffic, SimulatedNetwork};
 
-/// How long a fleet may take to settle.
+/// Maximum time from the start or the end of a partition until the fleet settles.
 const SETTLE_LIMIT: Milliseconds = Milliseconds(120_000);
-/// After this time the updates of the start have been disseminated.
+/// Time after settling until the updates from the start have been disseminated.
 const WARM_UP: Milliseconds = Milliseconds(15_000);
-/// For how long the traffic of a settled fleet is counted.
-const TRAFFIC: Milliseconds = Milliseconds(30_000);
-/// Stands for a fleet that did not settle and for a crash that was not seen.
+/// Time for which the traffic of a settled fleet is counted.
+const TRAFFIC_DURATION: Milliseconds = Milliseconds(30_000);
+/// The result for a fleet that did not settle, and for a crash that was not detected.
 const NEVER: Milliseconds = Milliseconds(u64::MAX);
-/// For how long a fleet runs under loss.
-const LOSS: Milliseconds = Milliseconds(60_000);
+/// Time for which a fleet runs under loss.
+const LOSS_DURATION: Milliseconds = Milliseconds(60_000);
 
 fn main() {
-    print_sizes();
+    print_results_by_fleet_size();
     println!();
-    print_losses();
+    print_results_under_loss();
 }
 
-/// Calls `run` for each seed from 1 to `seeds`, spread over the machine's cores; the result of a seed does not depend on
-/// the core that it runs on.
+/// Calls `run` for each seed from 1 to `seeds`, with the seeds distributed over one thread per core. The result of a
+/// seed does not depend on the thread.
 fn run_seeds<T: Send>(seeds: u64, run: impl Fn(u64) -> T + Sync) -> Vec<T> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from) as u64;
     let run = &run;
@@ -45,7 +47,8 @@
     })
 }
 
-/// Crashes the last member, and returns how long it took until all others saw it down, within `limit`.
+/// Crashes the last member, runs for `limit`, and returns the time from the crash until the member is down in the views
+/// of all others; [`NEVER`] if it is not.
 fn measure_detection(
     network: &mut SimulatedNetwork,
     fleet_size: u32,
@@ -74,7 +77,7 @@
         .map_or(NEVER, |change| change.at.saturating_duration_since(since))
 }
 
-/// The changes of all views since a time.
+/// Returns the changes of all views at `since` or later.
 fn changes_since(
     network: &SimulatedNetwork,
     since: Timestamp,
@@ -93,7 +96,7 @@
 }
 
 /// The measurements of one run without loss.
-struct SizeRun {
+struct LosslessRun {
     settled_at: Timestamp,
     datagrams: u64,
     bytes: u64,
@@ -101,16 +104,16 @@
     healing: Milliseconds,
 }
 
-fn run_size(fleet_size: u32, seed: u64) -> SizeRun {
+fn run_without_loss(fleet_size: u32, seed: u64) -> LosslessRun {
     let mut network = SimulatedNetwork::start(fleet_size, seed);
     let settled_at = network.settle(SETTLE_LIMIT).unwrap_or(Timestamp::MAX);
     network.run_until(network.now() + WARM_UP);
     let before = total_traffic(&network);
-    network.run_until(network.now() + TRAFFIC);
+    network.run_until(network.now() + TRAFFIC_DURATION);
     let after = total_traffic(&network);
     let detection = measure_detection(&mut network, fleet_size, Milliseconds(40_000));
     let healing = measure_healing(&mut network, fleet_size - 1);
-    SizeRun {
+    LosslessRun {
         settled_at,
         datagrams: after.datagrams - before.datagrams,
         bytes: after.bytes - before.bytes,
@@ -119,7 +122,8 @@
     }
 }
 
-/// Cuts the fleet in halves for a minute, and returns how long it took until it came to one view again.
+/// Partitions the fleet into two halves for a minute, and returns the time from the end of the partition until the
+/// fleet is settled again.
 fn measure_healing(network: &mut SimulatedNetwork, members: u32) -> Milliseconds {
     let (left, right): (Vec<GatewayId>, Vec<GatewayId>) = (0..members)
         .map(GatewayId)
@@ -134,24 +138,24 @@
     })
 }
 
-fn print_sizes() {
+fn print_results_by_fleet_size() {
     println!("| fleet, seeds | settled after at most | datagrams, bytes a gateway a second | crash seen by all: p50, p99, most | bound | cut in halves healed after: p50, most | bound |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (fleet_size, seeds) in [(5u32, 300u64), (7, 300), (50, 60), (300, 12)] {
-        let runs = run_seeds(seeds, |seed| run_size(fleet_size, seed));
-        let seconds_counted = seconds(TRAFFIC);
+        let runs = run_seeds(seeds, |seed| run_without_loss(fleet_size, seed));
+        let traffic_seconds = seconds(TRAFFIC_DURATION);
         let rate =
-            |total: u64| total as f64 / f64::from(fleet_size) / seconds_counted / seeds as f64;
-        let detection = Sorted::new(runs.iter().map(|run| run.detection));
-        let healing = Sorted::new(runs.iter().map(|run| run.healing));
-        let settled = Sorted::new(
+            |total: u64| total as f64 / f64::from(fleet_size) / traffic_seconds / seeds as f64;
+        let detection = SortedDurations::new(runs.iter().map(|run| run.detection));
+        let healing = SortedDurations::new(runs.iter().map(|run| run.healing));
+        let settling = SortedDurations::new(
             runs.iter()
                 .map(|run| run.settled_at.saturating_duration_since(Timestamp::ZERO)),
         );
         let settings = Settings::for_fleet(fleet_size);
         println!(
             "| {fleet_size}, {seeds} | {:.1} s | {:.1}, {:.0} | {:.1}, {:.1}, {:.1} s | {:.1} s | {:.1}, {:.1} s | {:.1} s |",
-            seconds(settled.max()),
+            seconds(settling.max()),
             rate(runs.iter().map(|run| run.datagrams).sum()),
             rate(runs.iter().map(|run| run.bytes).sum()),
             seconds(detection.quantile(0.5)),
@@ -166,7 +170,7 @@
 }
 
 /// The measurements of one run under loss.
-struct LossRun {
+struct LossyRun {
     sent_by_kind: [u64; KINDS],
     had_false_verdict: bool,
     suspicions: usize,
@@ -174,14 +178,14 @@
     detection: Milliseconds,
 }
 
-fn run_loss(fleet_size: u32, loss: f64, seed: u64) -> LossRun {
+fn run_under_loss(fleet_size: u32, loss: f64, seed: u64) -> LossyRun {
     let mut network = SimulatedNetwork::start(fleet_size, seed);
     network.settle(SETTLE_LIMIT);
     network.run_until(network.now() + WARM_UP);
     network.faults.loss = loss;
     let start = network.now();
     let before = network.record.sent_by_kind;
-    network.run_until(start + LOSS);
+    network.run_until(start + LOSS_DURATION);
     let after = network.record.sent_by_kind;
     let count =
         |to| changes_since(&network, start).filter(move |observed| observed.change.to == to);
@@ -191,36 +195,36 @@
     let refutations = refutations
         .filter(|refutation| refutation.at >= start)
         .count();
-    LossRun {
+    LossyRun {
         sent_by_kind: std::array::from_fn(|kind| after[kind] - before[kind]),
         had_false_verdict,
         suspicions,
         refutations,
-        detection: measure_detection(&mut network, fleet_size, LOSS),
+        detection: measure_detection(&mut network, fleet_size, LOSS_DURATION),
     }
 }
 
-fn print_losses() {
+fn print_results_under_loss() {
     println!("| fleet | loss | runs of 60 s with a false verdict in a view | refutations | suspicions a gateway a minute | datagrams a gateway a second: all; ping, ack, ping-req, indirect ack, join, member list, gossip | crash under it seen by all: p50, most |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (fleet_size, seeds) in [(7u32, 300u64), (50, 30), (300, 6)] {
         for loss in [0.1, 0.3, 0.4] {
-            print_loss(fleet_size, seeds, loss);
+            print_result_under_loss(fleet_size, seeds, loss);
         }
     }
 }
 
-fn print_loss(fleet_size: u32, seeds: u64, loss: f64) {
-    let runs = run_seeds(seeds, |seed| run_loss(fleet_size, loss, seed));
+fn print_result_under_loss(fleet_size: u32, seeds: u64, loss: f64) {
+    let runs = run_seeds(seeds, |seed| run_under_loss(fleet_size, loss, seed));
     let per_gateway = |total: f64| total / f64::from(fleet_size) / seeds as f64;
-    let rate = |total: u64| per_gateway(total as f64) / seconds(LOSS);
+    let rate = |total: u64| per_gateway(total as f64) / seconds(LOSS_DURATION);
     let kind_total = |kind: usize| runs.iter().map(|run| run.sent_by_kind[kind]).sum::<u64>();
-    // Without the last kind: no member leaves in these runs.
+    // The last kind is omitted, because no member leaves in these runs.
     let rate_by_kind: Vec<String> = (0..KINDS - 1)
         .map(|kind| format!("{:.1}", rate(kind_total(kind))))
         .collect();
     let suspicions: usize = runs.iter().map(|run| run.suspicions).sum();
-    let detection = Sorted::new(runs.iter().map(|run| run.detection));
+    let detection = SortedDurations::new(runs.iter().map(|run| run.detection));
     println!(
         "| {fleet_size} | {:.0} % | {} of {seeds} | {} | {:.1} | {:.1}; {} | {:.1}, {:.1} s |",
         loss * 100.0,
@@ -238,17 +242,17 @@
     length.0 as f64 / 1000.0
 }
 
-/// Times in ascending order.
-struct Sorted(Vec<Milliseconds>);
+/// Durations in ascending order.
+struct SortedDurations(Vec<Milliseconds>);
 
-impl Sorted {
+impl SortedDurations {
     fn new(times: impl Iterator<Item = Milliseconds>) -> Self {
         let mut sorted: Vec<Milliseconds> = times.collect();
         sorted.sort_unstable();
         Self(sorted)
     }
 
-    /// The quantile (0 to 1); 0 without any time.
+    /// Returns the duration at this quantile, from 0 to 1; zero if there are no durations.
     fn quantile(&self, quantile: f64) -> Milliseconds {
         let Some(last) = self.0.len().checked_sub(1) else {
             return Milliseconds::ZERO;
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -1,4 +1,5 @@
-//! The membership datagram encoded and decoded, and arbitrary bytes: never a panic, never a change of the view.
+//! Property tests of the datagram codec. Arbitrary bytes must not cause a panic, and rejected ones must not change the
+//! view.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Generation, Timestamp};
 use irisrouter_membership::codec::{self, decode, encode};
@@ -8,7 +9,7 @@
 };
 use proptest::prelude::*;
 
-/// Member 0 of five, at time 0.
+/// Creates member 0 of five, at time 0.
 fn new_member() -> Membership {
     let process = GatewayProcess::first(GatewayId(0));
     Membership::new(process, Settings::for_fleet(5), 1, Timestamp::ZERO).expect("settings")
@@ -87,7 +88,7 @@
     fn encoded_datagram_decodes_to_itself(sent in datagram()) {
         let bytes = encode(&sent);
         prop_assert!(bytes.len() <= codec::MAX_DATAGRAM_BYTES, "{} bytes", bytes.len());
-        prop_assert_eq!(decode(&bytes).expect("reads"), sent);
+        prop_assert_eq!(decode(&bytes).expect("decodes"), sent);
     }
 
     #[test]
@@ -117,7 +118,7 @@
         let mut membership = new_member();
         let _ = membership.receive(Timestamp::from_millis(10), &bytes);
         for member in membership.view().members() {
-            // Nothing from outside the list can enter it; what is inside stays in the four states.
+            // Each row of the fleet's list remains in one of the four states.
             prop_assert!(matches!(member.liveness, Liveness::Unknown | Liveness::Alive | Liveness::Suspect | Liveness::Down));
         }
     }
--- a/crates/membership/tests/decision_log.rs
+++ b/crates/membership/tests/decision_log.rs
@@ -1,7 +1,8 @@
-//! Digests of whole simulated runs: every datagram byte by byte, every change of a view, every timer.
+//! Digests of whole simulated runs, which cover the bytes of every datagram, every change of a view and every timer.
 //!
-//! A change that is to leave the decisions of the core as they are must leave every literal in this file as it is. A
-//! wanted change of the decisions replaces the literals, and its commit says which decision changed and why.
+//! A commit that is not meant to change the decisions of the core must leave every literal in this file unchanged. A
+//! commit that changes the decisions on purpose replaces the literals, and its message says which decision changed and
+//! why.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Generation, Milliseconds, Timestamp};
 use irisrouter_membership::Settings;
@@ -13,11 +14,12 @@
     assert_eq!(digest, expected, "the digest is now {digest:#018x}");
 }
 
-/// A linear congruential generator (Knuth's MMIX): the schedules of faults depend on no library.
+/// A linear congruential generator with the constants of Knuth's MMIX, so that the schedules of faults do not depend on
+/// a library.
 struct FaultRng(u64);
 
 impl FaultRng {
-    fn below(&mut self, bound: u32) -> u32 {
+    fn next_below(&mut self, bound: u32) -> u32 {
         self.0 = self
             .0
             .wrapping_mul(6_364_136_223_846_793_005)
@@ -113,19 +115,19 @@
     let mut network = SimulatedNetwork::with_settings(settings, seed).expect("settings");
     let mut rng = FaultRng(seed);
     for _ in 0..120 {
-        let member = GatewayId(rng.below(20));
-        let other = GatewayId(rng.below(20));
-        match rng.below(8) {
+        let member = GatewayId(rng.next_below(20));
+        let other = GatewayId(rng.next_below(20));
+        match rng.next_below(8) {
             0 => network.crash(member),
             1 => network.restart(member, &[other]),
             2 => network.stall(member),
             3 => network.resume(member),
             4 => network.cut(member, other),
-            5 => network.faults.loss = f64::from(rng.below(50)) / 100.0,
+            5 => network.faults.loss = f64::from(rng.next_below(50)) / 100.0,
             6 => network.heal(),
             _ => network.leave(member),
         }
-        let pause = Milliseconds(u64::from(rng.below(2_000)));
+        let pause = Milliseconds(u64::from(rng.next_below(2_000)));
         network.run_until(network.now() + pause);
     }
     network.heal();
--- a/crates/membership/tests/dissemination.rs
+++ b/crates/membership/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! The queue of changes that are passed on.
+//! The queue of changes to disseminate.
 
 use irisrouter_cluster_types::GatewayId;
 use irisrouter_membership::dissemination::DisseminationQueue;
@@ -17,7 +17,7 @@
     assert_eq!(
         queue.take(4, GatewayId(2), 3),
         [GatewayId(5)],
-        "no member is sent what is known of itself"
+        "no member is sent its own row"
     );
     assert_eq!(queue.take(4, GatewayId(9), 3), [GatewayId(2), GatewayId(5)]);
     assert_eq!(queue.take(4, GatewayId(9), 3), [GatewayId(2)]);
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -1,11 +1,13 @@
-//! Membership under the faults that it is made for, on the simulated network: crash, stall, one-way cut, partition,
-//! loss, restart. Virtual time, seeded: each test gives the same result every time and runs in well under a second.
+//! Membership under the faults that it has to tolerate, on the simulated network: crashes, stalls, one-way cuts,
+//! partitions, loss of datagrams and restarts. The tests are deterministic, because they run in virtual time with fixed
+//! seeds, and each takes well under a second.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Generation, Milliseconds, Timestamp};
 use irisrouter_membership::{Liveness, Settings};
 use irisrouter_simulated_network::SimulatedNetwork;
 
-/// The first time at which `observer` saw `member` become `to`, after `since`.
+/// Returns the time of the first change of `member` to the liveness `to` in the view of `observer`, at `since` or
+/// later.
 fn first_change(
     network: &SimulatedNetwork,
     observer: GatewayId,
@@ -23,8 +25,13 @@
         .map(|change| change.at)
 }
 
-/// Whether any member saw `member` become `to`, after `since`.
-fn became(network: &SimulatedNetwork, member: GatewayId, to: Liveness, since: Timestamp) -> bool {
+/// Returns whether `member` changed to the liveness `to` in any view, at `since` or later.
+fn changed_in_any_view(
+    network: &SimulatedNetwork,
+    member: GatewayId,
+    to: Liveness,
+    since: Timestamp,
+) -> bool {
     network
         .record
         .changes
@@ -34,7 +41,7 @@
 }
 
 fn declared_down(network: &SimulatedNetwork, member: GatewayId, since: Timestamp) -> bool {
-    became(network, member, Liveness::Down, since)
+    changed_in_any_view(network, member, Liveness::Down, since)
 }
 
 #[test]
@@ -76,9 +83,9 @@
         network.run_until(start + Milliseconds(20_000));
         assert!(
             !declared_down(&network, GatewayId(2), start),
-            "seed {seed}: a stall of 2 s was taken for death"
+            "seed {seed}: declared down after a stall of 2 s"
         );
-        if became(&network, GatewayId(2), Liveness::Suspect, start) {
+        if changed_in_any_view(&network, GatewayId(2), Liveness::Suspect, start) {
             suspected += 1;
         }
         for observer in (0..5).map(GatewayId) {
@@ -91,7 +98,7 @@
     }
     assert!(
         suspected >= 4,
-        "a stall of 2 s was suspected on {suspected} of 8 seeds only"
+        "a stall of 2 s led to a suspicion on only {suspected} of 8 seeds, expected at least 4"
     );
 }
 
@@ -104,11 +111,11 @@
         network.run_until(start + Milliseconds(60_000));
         assert!(
             !declared_down(&network, GatewayId(0), start),
-            "seed {seed}: 0 declared down by a one-way cut"
+            "seed {seed}: 0 declared down because of a one-way cut"
         );
         assert!(
             !declared_down(&network, GatewayId(1), start),
-            "seed {seed}: 1 declared down by a one-way cut"
+            "seed {seed}: 1 declared down because of a one-way cut"
         );
     }
 }
@@ -126,12 +133,12 @@
                 assert_eq!(
                     network.liveness(left, right),
                     Some(Liveness::Down),
-                    "seed {seed}: {left} still sees {right}"
+                    "seed {seed}: {left} does not consider {right} down"
                 );
                 assert_eq!(
                     network.liveness(right, left),
                     Some(Liveness::Down),
-                    "seed {seed}: {right} still sees {left}"
+                    "seed {seed}: {right} does not consider {left} down"
                 );
             }
         }
@@ -139,17 +146,17 @@
         assert!(side(0).has_majority() && !side(0).is_alone());
         assert!(
             !side(3).has_majority(),
-            "seed {seed}: the side of two thinks it has a majority"
+            "seed {seed}: the side with two members claims a majority"
         );
-        let cut_healed = network.now();
+        let healed_at = network.now();
         network.heal();
         let at = network
             .settle(Milliseconds(30_000))
-            .expect("the healed fleet comes to one view");
+            .expect("all views agree after the partition is healed");
         assert!(
-            at.saturating_duration_since(cut_healed) <= settings.heal_bound(),
+            at.saturating_duration_since(healed_at) <= settings.heal_bound(),
             "seed {seed}: healed in {} ms, bound {}",
-            at.saturating_duration_since(cut_healed),
+            at.saturating_duration_since(healed_at),
             settings.heal_bound()
         );
     }
@@ -169,7 +176,7 @@
                     "{size}, seed {seed}: {member} declared down"
                 );
             }
-            // Counted by the members themselves too: none was ever notified that it was held down.
+            // No member was ever notified that another one considers it down.
             assert_eq!(network.record.refutations, [], "{size}, seed {seed}");
             assert_eq!(network.record.renewals, [], "{size}, seed {seed}");
         }
@@ -190,7 +197,7 @@
                 .partition_side(GatewayId(5))
                 .expect("runs")
                 .is_alone(),
-            "seed {seed}: member 5 does not know that it is alone"
+            "seed {seed}: member 5 does not detect that it is alone"
         );
         for observer in (0..5).map(GatewayId) {
             assert_eq!(
@@ -209,15 +216,16 @@
         network.heal();
         network
             .settle(Settings::for_fleet(6).heal_bound())
-            .expect("comes back once it receives datagrams again");
+            .expect("member 5 is alive again after it receives datagrams");
     }
 }
 
 #[test]
-fn member_held_down_refutes_with_a_higher_incarnation_and_the_verdict_does_not_spread() {
+fn member_declared_down_refutes_with_a_higher_incarnation_and_the_verdict_does_not_spread() {
     let mut network = SimulatedNetwork::start(7, 3);
     let start = network.settle(Milliseconds(20_000)).expect("settles");
-    // Member 0 receives nothing, neither from 1 nor from any that could ping 1 for it: it comes to a false verdict.
+    // Member 0 receives nothing, neither from member 1 nor from the members that ping 1 at its request, and therefore
+    // declares member 1 down although it is alive.
     for other in (1..7).map(GatewayId) {
         network.cut(other, GatewayId(0));
     }
@@ -229,14 +237,14 @@
     network.heal();
     network
         .settle(Settings::for_fleet(7).heal_bound())
-        .expect("comes to one view");
+        .expect("all views agree again");
     assert!(
         network
             .record
             .refutations
             .iter()
             .any(|refutation| refutation.member == GatewayId(1)),
-        "1 never refuted"
+        "member 1 did not refute the verdict"
     );
     for observer in (2..7).map(GatewayId) {
         assert_eq!(
@@ -244,7 +252,11 @@
             None
         );
     }
-    assert_eq!(network.record.renewals, [], "a refutation is enough");
+    assert_eq!(
+        network.record.renewals,
+        [],
+        "a member took a later generation, though a refutation is enough"
+    );
 }
 
 #[test]
@@ -264,7 +276,7 @@
             .count();
         assert_eq!(
             verdicts, 0,
-            "seed {seed}: it took its own absence for that of the others"
+            "seed {seed}: the resumed member declared others down"
         );
         for observer in (0..5).map(GatewayId) {
             assert_eq!(
@@ -277,7 +289,7 @@
 }
 
 #[test]
-fn member_that_leaves_is_held_down_without_a_suspicion() {
+fn member_that_leaves_is_declared_down_without_a_suspicion() {
     for seed in 1..=5 {
         let mut network = SimulatedNetwork::start(5, seed);
         let start = network.settle(Milliseconds(20_000)).expect("settles");
@@ -310,7 +322,7 @@
             .partition_side(GatewayId(99))
             .expect("runs")
             .has_majority(),
-        "twelve probes without an answer are not enough for it"
+        "member 99 still claims a majority after twelve seconds of unanswered pings"
     );
     network.run_until(start + Milliseconds(40_000));
     assert!(network
@@ -324,7 +336,7 @@
     network.heal();
     network
         .settle(Milliseconds(30_000))
-        .expect("comes to one view");
+        .expect("all views agree again");
 }
 
 #[test]
@@ -342,14 +354,14 @@
     );
     network
         .settle(Milliseconds(20_000))
-        .expect("seen again, though its generation is older");
+        .expect("the member is alive again, although it started with an older generation");
     assert!(
         network
             .record
             .renewals
             .iter()
             .any(|renewal| renewal.process.gateway == GatewayId(3)),
-        "it went on as the generation that was known"
+        "the member did not continue as a later generation"
     );
 }
 
@@ -361,7 +373,8 @@
         network.crash(GatewayId(4));
         network.run_until(start + Milliseconds(1_000));
         network.restart(GatewayId(4), &[GatewayId(0)]);
-        // Within the suspicion time the old generation is still alive to members that do not know the new one yet.
+        // Members that have not received the new generation yet still consider the old one alive until the suspicion
+        // time has elapsed.
         let new_everywhere = |network: &SimulatedNetwork| {
             (0..4).map(GatewayId).all(|observer| {
                 network
@@ -386,7 +399,7 @@
             assert_eq!(
                 row.process.generation,
                 Generation(1),
-                "seed {seed}: {observer} knows the old generation"
+                "seed {seed}: {observer} does not have the new generation in its view"
             );
         }
         assert!(
@@ -420,6 +433,6 @@
             .view(GatewayId(0))
             .expect("runs")
             .accepts_from(GatewayId(99)),
-        "a number outside the list never counts"
+        "reports from a gateway outside the fleet's list are accepted"
     );
 }
--- a/crates/membership/tests/join.rs
+++ b/crates/membership/tests/join.rs
@@ -1,4 +1,4 @@
-//! Joining by member lists, also by lists that no well-behaved member sends.
+//! The processing of member lists by a joining member, including lists that a correct member never sends.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Timestamp};
 use irisrouter_membership::codec::{decode, encode};
@@ -8,7 +8,7 @@
 
 const NOW: Timestamp = Timestamp::from_millis(10);
 
-fn reported_alive(number: u32) -> MemberUpdate {
+fn alive_update(number: u32) -> MemberUpdate {
     MemberUpdate {
         process: GatewayProcess::first(GatewayId(number)),
         incarnation: Incarnation::FIRST,
@@ -16,7 +16,7 @@
     }
 }
 
-/// The messages that member 0 of five sends on receiving a member list of member 1.
+/// Returns the messages that member 0 of five sends when it receives a member list from member 1.
 fn answers_to_member_list(updates: Vec<MemberUpdate>) -> Vec<Message> {
     let local = GatewayProcess::first(GatewayId(0));
     let mut member =
@@ -38,15 +38,15 @@
 }
 
 #[test]
-fn newcomer_asks_for_the_members_after_the_last_of_the_list() {
-    let answers = answers_to_member_list(vec![reported_alive(2), reported_alive(3)]);
+fn joining_member_requests_the_members_after_the_end_of_the_list() {
+    let answers = answers_to_member_list(vec![alive_update(2), alive_update(3)]);
     let list_from = Some(GatewayId(4));
     assert_eq!(answers, [Message::Join { list_from }]);
 }
 
 #[test]
 fn member_list_that_ends_with_the_largest_number_is_continued_at_the_start() {
-    let answers = answers_to_member_list(vec![reported_alive(2), reported_alive(u32::MAX)]);
+    let answers = answers_to_member_list(vec![alive_update(2), alive_update(u32::MAX)]);
     let list_from = Some(GatewayId(3));
     assert_eq!(answers, [Message::Join { list_from }]);
 }
--- a/crates/membership/tests/serial_number.rs
+++ b/crates/membership/tests/serial_number.rs
@@ -1,4 +1,4 @@
-//! The order of generations, and the number after each serial number.
+//! The order of generations across the wrap, and the successors of serial numbers.
 
 use irisrouter_cluster_types::Generation;
 use irisrouter_membership::serial_number::SerialNumber;
--- a/crates/membership/tests/settings.rs
+++ b/crates/membership/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings and their check.
+//! The default settings, and the validation of settings.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Milliseconds, Timestamp};
 use irisrouter_membership::{Membership, Settings};
@@ -10,67 +10,70 @@
     assert_eq!(small.suspicion, Milliseconds(5_000));
     assert_eq!(large.suspicion, Milliseconds(9_908));
     assert!(small.check().is_ok() && large.check().is_ok());
-    let mut bad = small.clone();
-    bad.suspicion = bad.max_stall;
-    let error = bad.check().expect_err("the suspicion is too short");
+    let mut invalid = small.clone();
+    invalid.suspicion = invalid.max_stall;
+    let error = invalid.check().expect_err("the suspicion is too short");
     assert!(error.to_string().starts_with("suspicion_ms"));
 }
 
-/// Operators see these texts when membership does not start.
+/// These texts are shown to operators when membership does not start because of invalid settings.
 #[test]
 fn settings_errors_keep_their_texts() {
-    let rejected = |change: fn(&mut Settings)| {
+    let rejection_text = |change: fn(&mut Settings)| {
         let mut settings = Settings::for_fleet(5);
         change(&mut settings);
         let error = settings.check().expect_err("the settings are rejected");
         error.to_string()
     };
     let zero = "must be greater than zero";
-    assert_eq!(rejected(|s| s.fleet_size = 0), format!("fleet: {zero}"));
     assert_eq!(
-        rejected(|s| s.protocol_period = Milliseconds::ZERO),
+        rejection_text(|s| s.fleet_size = 0),
+        format!("fleet: {zero}")
+    );
+    assert_eq!(
+        rejection_text(|s| s.protocol_period = Milliseconds::ZERO),
         format!("probe_period_ms: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.ping_timeout = Milliseconds::ZERO),
+        rejection_text(|s| s.ping_timeout = Milliseconds::ZERO),
         format!("probe_rtt_ms: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.indirect_pings = 0),
+        rejection_text(|s| s.indirect_pings = 0),
         format!("indirect_probes: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.suspicion = Milliseconds::ZERO),
+        rejection_text(|s| s.suspicion = Milliseconds::ZERO),
         format!("suspicion_ms: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.rejoin_interval = Milliseconds::ZERO),
+        rejection_text(|s| s.rejoin_interval = Milliseconds::ZERO),
         format!("rejoin_ms: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.gossip_interval = Milliseconds::ZERO),
+        rejection_text(|s| s.gossip_interval = Milliseconds::ZERO),
         format!("gossip_ms: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.gossip_fanout = 0),
+        rejection_text(|s| s.gossip_fanout = 0),
         format!("gossip_fanout: {zero}")
     );
     assert_eq!(
-        rejected(|s| s.ping_timeout = s.protocol_period),
+        rejection_text(|s| s.ping_timeout = s.protocol_period),
         "probe_rtt_ms: must be shorter than probe_period_ms, or probes overlap"
     );
     assert_eq!(
-        rejected(|s| s.gossip_interval = s.rejoin_interval + Milliseconds(1)),
+        rejection_text(|s| s.gossip_interval = s.rejoin_interval + Milliseconds(1)),
         "gossip_ms: must not be longer than rejoin_ms, to which joins back off"
     );
     assert_eq!(
-        rejected(|s| s.suspicion = s.max_stall),
+        rejection_text(|s| s.suspicion = s.max_stall),
         "suspicion_ms: must be longer than stall_ms, or a stall is taken for death"
     );
 }
 
 #[test]
-fn number_outside_the_fleet_is_rejected_with_its_text() {
+fn gateway_outside_the_fleet_is_rejected_with_its_text() {
     let outside = GatewayProcess::first(GatewayId(5));
     let created = Membership::new(outside, Settings::for_fleet(5), 1, Timestamp::ZERO);
     let error = created.err().map(|error| error.to_string());
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -1,16 +1,17 @@
-//! The core's rules of suspicion and refutation ([`irisrouter_membership::merge_rules`]), checked exhaustively at small
-//! size with stateright: one live member, the subject, and three observers that ping it and pass on what they hold of it.
+//! Model checking of the core's rules of suspicion and refutation ([`irisrouter_membership::merge_rules`]) with
+//! stateright. The model has one live member, the subject, and three observers that ping it and disseminate their rows
+//! of it; all its states are explored.
 //!
-//! In the model any message may arrive after any other, in any order; a bounded number of rounds of pings is lost, the
-//! ping or its ack. An observer pings the subject in rounds; a round ends with an answer or is missed. A verdict, like a
-//! refutation, may be sent by the observer that holds it to each other observer once. What is checked:
+//! Messages may arrive in any order. Observers ping the subject in rounds, and a round is either answered or missed. A
+//! bounded number of rounds is missed because the ping or its ack is lost. An observer may send each verdict and each
+//! refutation once to every other observer. The checks are:
 //!
-//! - with fewer losses than one observer needs for a verdict, no observer ever holds the subject down;
-//! - with more, a false verdict is possible (the model can fail), but no observer takes it on from another as long as
-//!   the subject answers that other, and once the subject has been notified and everything has arrived, no observer
-//!   holds it down;
-//! - the same two fail when a report is a verdict (as in SWIM as published), or when an update of an older incarnation
-//!   outranks a later one.
+//! - With fewer losses than one observer needs for a verdict, no observer ever considers the subject down.
+//! - With more losses a false verdict is possible, which shows that the model can fail. An observer accepts it from
+//!   another only if it missed a round of the subject itself. Once the subject has been notified and all messages have
+//!   arrived, no observer considers the subject down.
+//! - If a report counts as a verdict, as in SWIM as published, or if an update of an older incarnation outranks a later
+//!   one, the checker finds an observer that considers the subject down without having missed a round itself.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Timestamp};
 use irisrouter_membership::merge_rules::{
@@ -20,29 +21,29 @@
 use stateright::{Checker, Model, Property};
 
 const OBSERVERS: usize = 3;
-/// The member that is pinged.
+/// The member that the observers ping.
 const SUBJECT: GatewayProcess = GatewayProcess::first(GatewayId(9));
-/// Missed rounds after the first that lead to a verdict.
+/// Number of missed rounds after the first one that lead to a verdict.
 const SUSPICION_ROUNDS: u32 = 1;
-/// The bound on the states that are looked at. A check that reaches it fails, as it has to be exhaustive.
+/// Maximum number of states to explore. An exhaustive check that reaches it fails.
 const MAX_STATES: usize = 8_000_000;
-/// Rounds of pings that an observer starts in all, so that each run ends.
+/// Total number of rounds that an observer starts by itself; bounded so that each run ends.
 const PING_ROUNDS: u8 = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Observer {
     liveness: Liveness,
     incarnation: Incarnation,
-    /// Rounds missed in a row.
+    /// Number of consecutive missed rounds.
     missed_rounds: u32,
-    /// Whether another observer reported the subject down.
+    /// Why the subject is pinged: `ReportedDown` after another observer reported it down.
     reason: PingReason,
-    /// Rounds of pings still to be started.
+    /// Number of rounds that the observer may still start by itself.
     rounds_left: u8,
-    /// To which of the others it has still to send what it holds.
+    /// Whether the observer still has to send its row of the subject to the observer with this index.
     unsent: [bool; OBSERVERS],
-    /// Whether it came to hold the subject down by a missed round of its own.
-    missed_round_itself: bool,
+    /// Whether the observer declared the subject down after a round that it missed itself.
+    down_after_missed_round: bool,
 }
 
 impl Observer {
@@ -56,12 +57,12 @@
         }
     }
 
-    /// Queues what this observer, which has this index, holds for all others.
+    /// Queues this observer's row of the subject for all other observers; `own_index` is the index of this observer.
     fn disseminate(&mut self, own_index: usize) {
         self.unsent = std::array::from_fn(|other| other != own_index);
     }
 
-    fn hold_alive(&mut self, own_index: usize, incarnation: Incarnation) {
+    fn mark_alive(&mut self, own_index: usize, incarnation: Incarnation) {
         if self.incarnation != incarnation || self.liveness == Liveness::Down {
             self.disseminate(own_index);
         }
@@ -70,7 +71,7 @@
             incarnation,
             missed_rounds: 0,
             reason: PingReason::Scheduled,
-            missed_round_itself: false,
+            down_after_missed_round: false,
             ..self.clone()
         };
     }
@@ -78,23 +79,24 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Message {
-    /// What an observer holds of the subject, sent to another observer.
+    /// An observer's row of the subject, sent to another observer.
     Update {
         to: usize,
         incarnation: Incarnation,
         down: bool,
     },
-    /// Notifies the subject that an observer holds it down.
+    /// Notifies the subject that an observer considers it down.
     NotifySubject {
         from: usize,
         incarnation: Incarnation,
     },
-    /// The subject's refutation, to an observer that held it down.
+    /// The subject's refutation, sent to the observer that notified it.
     Refutation { to: usize, incarnation: Incarnation },
 }
 
 impl Message {
-    /// Kind, observer, incarnation and verdict: a total order, so that equal sets of messages make equal states.
+    /// Returns the kind, observer, incarnation and verdict. They define a total order, so that states with the same set
+    /// of messages compare equal.
     fn sort_key(&self) -> (u8, usize, u16, bool) {
         match *self {
             Self::Update {
@@ -113,7 +115,9 @@
     observers: Vec<Observer>,
     /// The incarnation of the subject.
     incarnation: Incarnation,
+    /// Number of rounds that may still be lost.
     losses_left: u8,
+    /// The messages in flight, sorted by [`Message::sort_key`].
     messages: Vec<Message>,
 }
 
@@ -128,8 +132,8 @@
         self.send(Message::NotifySubject { from, incarnation });
     }
 
-    /// The subject learns that it is held down in this incarnation.
-    fn process_down_at_subject(&mut self, incarnation: Incarnation) {
+    /// Applies a report to the subject that it is down in the given incarnation.
+    fn report_down_to_subject(&mut self, incarnation: Incarnation) {
         let update = MemberUpdate {
             process: SUBJECT,
             incarnation,
@@ -144,13 +148,14 @@
     fn answer_ping(&mut self, index: usize) {
         let observer = &mut self.observers[index];
         observer.rounds_left = observer.rounds_left.saturating_sub(1);
-        // The ping of an observer that received a report says so: the subject refutes before it answers.
+        // The ping of an observer that verifies a report carries the report, and the subject refutes it before it
+        // answers the ping.
         if observer.reason == PingReason::ReportedDown {
             let incarnation = observer.incarnation;
-            self.process_down_at_subject(incarnation);
+            self.report_down_to_subject(incarnation);
         }
         let incarnation = self.incarnation;
-        self.observers[index].hold_alive(index, incarnation);
+        self.observers[index].mark_alive(index, incarnation);
     }
 
     fn lose_ping(&mut self, index: usize) {
@@ -167,7 +172,7 @@
             MissedRoundOutcome::Suspect => observer.liveness = Liveness::Suspect,
             MissedRoundOutcome::Down => {
                 observer.liveness = Liveness::Down;
-                observer.missed_round_itself = true;
+                observer.down_after_missed_round = true;
                 observer.disseminate(index);
                 self.notify_subject(index);
             }
@@ -188,11 +193,11 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
-    /// A round of pings that the subject answers.
+    /// A round that the subject answers.
     AnswerPing {
         observer: usize,
     },
-    /// A round of pings that is lost.
+    /// A round that is missed because its pings or acks are lost.
     LosePing {
         observer: usize,
     },
@@ -205,16 +210,16 @@
     },
 }
 
-struct Suspicion {
-    /// Rounds of pings lost in all.
+struct SuspicionModel {
+    /// Total number of rounds that may be lost.
     losses: u8,
-    /// Whether a report is a verdict, as in SWIM as published.
+    /// Whether observers accept a report as a verdict without verifying it, as in SWIM as published.
     reports_are_verdicts: bool,
     /// Whether updates of older incarnations are applied.
     outdated_updates_apply: bool,
 }
 
-impl Suspicion {
+impl SuspicionModel {
     fn merge_update(&self, observer: &Observer, update: &MemberUpdate) -> UpdateOutcome {
         match merge_rules::merge_update(&observer.row(), update) {
             UpdateOutcome::Verify if self.reports_are_verdicts => UpdateOutcome::Apply,
@@ -231,7 +236,7 @@
                 down,
             } => self.deliver_update(state, to, incarnation, down),
             Message::NotifySubject { from, incarnation } => {
-                state.process_down_at_subject(incarnation);
+                state.report_down_to_subject(incarnation);
                 let incarnation = state.incarnation;
                 state.send(Message::Refutation {
                     to: from,
@@ -242,7 +247,7 @@
                 let observer = &mut state.observers[to];
                 let outcome = merge_rules::merge_contact(&observer.row(), SUBJECT, incarnation);
                 if outcome == ContactOutcome::Alive {
-                    observer.hold_alive(to, incarnation);
+                    observer.mark_alive(to, incarnation);
                 }
             }
         }
@@ -263,7 +268,7 @@
                 observer.disseminate(to);
                 state.notify_subject(to);
             }
-            UpdateOutcome::Apply => observer.hold_alive(to, incarnation),
+            UpdateOutcome::Apply => observer.mark_alive(to, incarnation),
             UpdateOutcome::Verify => {
                 observer.liveness = Liveness::Suspect;
                 observer.incarnation = incarnation;
@@ -273,9 +278,9 @@
     }
 }
 
-/// The steps that one observer may take next.
-fn steps_of(index: usize, observer: &Observer, losses_left: u8, steps: &mut Vec<Step>) {
-    // A member that is held down is not pinged; the notification sent with the verdict looks for it.
+/// Adds the steps that one observer may take next.
+fn add_observer_steps(index: usize, observer: &Observer, losses_left: u8, steps: &mut Vec<Step>) {
+    // A member that is down is not pinged; the notification that was sent with the verdict reaches it instead.
     if observer.liveness != Liveness::Down {
         let must_be_answered =
             observer.reason == PingReason::ReportedDown || observer.missed_rounds > 0;
@@ -286,12 +291,12 @@
             steps.push(Step::LosePing { observer: index });
         }
     }
-    // A suspicion is not passed on as a verdict.
+    // An observer that only suspects the subject does not report it down.
     let recipients = (0..OBSERVERS).filter(|&other| observer.unsent[other]);
     steps.extend(recipients.map(|to| Step::SendUpdate { from: index, to }));
 }
 
-impl Model for Suspicion {
+impl Model for SuspicionModel {
     type State = State;
     type Action = Step;
 
@@ -303,7 +308,7 @@
             reason: PingReason::Scheduled,
             rounds_left: PING_ROUNDS,
             unsent: [false; OBSERVERS],
-            missed_round_itself: false,
+            down_after_missed_round: false,
         };
         vec![State {
             observers: vec![observer; OBSERVERS],
@@ -315,7 +320,7 @@
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
         for (index, observer) in state.observers.iter().enumerate() {
-            steps_of(index, observer, state.losses_left, steps);
+            add_observer_steps(index, observer, state.losses_left, steps);
         }
         steps.extend((0..state.messages.len()).map(|message| Step::Deliver { message }));
     }
@@ -342,19 +347,20 @@
             }),
             Property::always(DOWN_ONLY_AFTER_MISSED_ROUND, |_, state: &State| {
                 state.observers.iter().all(|observer| {
-                    observer.liveness != Liveness::Down || observer.missed_round_itself
+                    observer.liveness != Liveness::Down || observer.down_after_missed_round
                 })
             }),
-            Property::always(REFUTED_IN_THE_END, |_, state: &State| {
+            Property::always(EVENTUALLY_REFUTED, |_, state: &State| {
                 let mut observers = state.observers.iter();
-                !is_at_rest(state) || observers.all(|observer| observer.liveness == Liveness::Alive)
+                !is_quiescent(state)
+                    || observers.all(|observer| observer.liveness == Liveness::Alive)
             }),
         ]
     }
 }
 
-/// Whether nothing is under way and nothing is left to send or to verify: the end of a run.
-fn is_at_rest(state: &State) -> bool {
+/// Returns whether no message is in flight and no update, verification or suspicion is pending: the end of a run.
+fn is_quiescent(state: &State) -> bool {
     state.messages.is_empty()
         && state.observers.iter().all(|observer| {
             !observer.unsent.contains(&true)
@@ -365,18 +371,18 @@
 
 const NEVER_DOWN: &str = "never down";
 const DOWN_ONLY_AFTER_MISSED_ROUND: &str = "down only after a missed round";
-const REFUTED_IN_THE_END: &str = "refuted in the end";
-const ALL_PROPERTIES: [&str; 3] = [NEVER_DOWN, DOWN_ONLY_AFTER_MISSED_ROUND, REFUTED_IN_THE_END];
+const EVENTUALLY_REFUTED: &str = "eventually refuted";
+const ALL_PROPERTIES: [&str; 3] = [NEVER_DOWN, DOWN_ONLY_AFTER_MISSED_ROUND, EVENTUALLY_REFUTED];
 
-/// Whether all states have to be seen for a check to count.
+/// Whether a check has to explore all states.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Search {
     Exhaustive,
-    UntilFound,
+    UntilViolated,
 }
 
-/// The properties that are violated.
-fn violated_properties(model: Suspicion, search: Search) -> Vec<&'static str> {
+/// Runs the model checker and returns the names of the properties that are violated.
+fn violated_properties(model: SuspicionModel, search: Search) -> Vec<&'static str> {
     let checker = model
         .checker()
         .threads(2)
@@ -385,15 +391,15 @@
         .join();
     let states = checker.state_count();
     assert!(
-        search == Search::UntilFound || states < MAX_STATES,
-        "{states} states: not all of them were seen"
+        search == Search::UntilViolated || states < MAX_STATES,
+        "reached the limit of {states} states before all were explored"
     );
     assert!(
         states > 50,
-        "{states} states: the model explored too little to prove anything"
+        "only {states} states were explored, expected more than 50"
     );
     eprintln!(
-        "{} states, {states} with those seen again",
+        "{} distinct states, {states} generated",
         checker.unique_state_count()
     );
     ALL_PROPERTIES
@@ -403,8 +409,8 @@
 }
 
 #[test]
-fn live_member_is_never_down_with_fewer_losses_than_a_verdict_takes() {
-    let model = Suspicion {
+fn live_member_is_never_down_with_fewer_losses_than_a_verdict_requires() {
+    let model = SuspicionModel {
         losses: SUSPICION_ROUNDS as u8,
         reports_are_verdicts: false,
         outdated_updates_apply: false,
@@ -414,8 +420,8 @@
 }
 
 #[test]
-fn false_verdict_stays_with_observers_that_missed_a_round_and_is_refuted_in_the_end() {
-    let model = Suspicion {
+fn false_verdict_stays_with_observers_that_missed_a_round_and_is_eventually_refuted() {
+    let model = SuspicionModel {
         losses: SUSPICION_ROUNDS as u8 + 1,
         reports_are_verdicts: false,
         outdated_updates_apply: false,
@@ -425,23 +431,23 @@
 }
 
 #[test]
-fn observers_hold_a_member_down_without_a_missed_round_if_reports_are_verdicts() {
-    let model = Suspicion {
+fn observers_declare_a_member_down_without_a_missed_round_if_reports_are_verdicts() {
+    let model = SuspicionModel {
         losses: SUSPICION_ROUNDS as u8 + 1,
         reports_are_verdicts: true,
         outdated_updates_apply: false,
     };
-    let violated = violated_properties(model, Search::UntilFound);
+    let violated = violated_properties(model, Search::UntilViolated);
     assert!(violated.contains(&DOWN_ONLY_AFTER_MISSED_ROUND));
 }
 
 #[test]
 fn refuted_verdict_returns_if_outdated_updates_apply() {
-    let model = Suspicion {
+    let model = SuspicionModel {
         losses: SUSPICION_ROUNDS as u8 + 1,
         reports_are_verdicts: false,
         outdated_updates_apply: true,
     };
-    let violated = violated_properties(model, Search::UntilFound);
+    let violated = violated_properties(model, Search::UntilViolated);
     assert!(violated.contains(&DOWN_ONLY_AFTER_MISSED_ROUND));
 }
