--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -101,7 +101,11 @@
     /// Returns settings with the given protocol period. All other times are scaled in proportion to it, except that
     /// `suspicion` is long enough for stalls of up to `max_stall`.
     #[must_use]
-    pub fn paced(fleet_size: u32, protocol_period: Milliseconds, max_stall: Milliseconds) -> Self {
+    pub fn with_protocol_period(
+        fleet_size: u32,
+        protocol_period: Milliseconds,
+        max_stall: Milliseconds,
+    ) -> Self {
         let defaults = Self::for_fleet(fleet_size);
         let scale = |length: Milliseconds| {
             length.saturating_mul(protocol_period.0) / defaults.protocol_period.0
--- a/crates/membership/tests/decision_log.rs
+++ b/crates/membership/tests/decision_log.rs
@@ -111,7 +111,7 @@
 }
 
 fn run_with_random_faults(seed: u64) -> SimulatedNetwork {
-    let settings = Settings::paced(20, Milliseconds(200), Milliseconds(1_000));
+    let settings = Settings::with_protocol_period(20, Milliseconds(200), Milliseconds(1_000));
     let mut network = SimulatedNetwork::with_settings(settings, seed).expect("settings");
     let mut rng = FaultRng(seed);
     for _ in 0..120 {
--- a/crates/testbed/src/cluster/schedule/mod.rs
+++ b/crates/testbed/src/cluster/schedule/mod.rs
@@ -98,7 +98,7 @@
     /// The membership core's settings for it.
     #[must_use]
     pub fn settings(&self, gateways: usize) -> Settings {
-        Settings::paced(
+        Settings::with_protocol_period(
             gateways as u32,
             Milliseconds(self.ping_period_ms),
             Milliseconds(self.stall_ms),
--- a/src/net/config/operator_config.rs
+++ b/src/net/config/operator_config.rs
@@ -213,7 +213,7 @@
     /// Returns the settings of the membership core for a fleet of this size.
     #[must_use]
     pub fn for_fleet(&self, fleet_size: u32) -> irisrouter_membership::Settings {
-        irisrouter_membership::Settings::paced(
+        irisrouter_membership::Settings::with_protocol_period(
             fleet_size,
             Milliseconds(self.ping_period_ms),
             Milliseconds(self.tolerated_pause_ms),
