--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns settings with the given protocol period. All other times are scaled in proportion to it, except that
-    /// `suspicion` is long enough for stalls of up to `max_stall`.
+    /// Returns settings with the given protocol period and `max_stall`. All other times are scaled in proportion to the
+    /// protocol period; `suspicion` is raised if it would not be three protocol periods longer than `max_stall`.
     #[must_use]
     pub fn with_protocol_period(
         fleet_size: u32,
