--- a/src/net/lifecycle/shutdown.rs
+++ b/src/net/lifecycle/shutdown.rs
@@ -2,7 +2,7 @@
 //!
 //! Clients go on using their connections for as long as these stay open. The requests that a closed connection would
 //! have carried are not served by any other gateway until this one has restarted. Therefore the gateway serves open
-//! connections until just enough time is left before the platform kills the process.
+//! connections until little time is left before the platform kills the process.
 
 use crate::net::config::ListenerSource;
 use crate::net::downstream::listener::ClientListener;
@@ -16,27 +16,30 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Minimum time from the longest deadline, counted from the signal, to the kill of the process by the platform.
+/// The platform counts the longest deadline of the classes from the signal, and kills the process no sooner than this
+/// after that deadline.
 const KILL_DELAY: Duration = Duration::from_millis(700);
 /// Longest deadline that the platform takes into account for the time of the kill. A longer one counts as this long.
 const LONGEST_COUNTED_DEADLINE: Duration = Duration::from_secs(3);
 /// Time after the signal during which all new connections are accepted. Clients open them for up to 0.4 s after the
 /// signal; the rest is a margin.
 const NEW_CONNECTIONS_PERIOD: Duration = Duration::from_millis(500);
-/// The last request is accepted this long before the kill, but not before [`NEW_CONNECTIONS_PERIOD`] has ended.
+/// Requests are accepted until this long before the kill, but at least until [`NEW_CONNECTIONS_PERIOD`] has ended.
 const REQUESTS_END_BEFORE_KILL: Duration = Duration::from_millis(800);
-/// Every request is answered at least this long before the kill, so that the answer still reaches the client.
+/// Time from the last answer to the kill, so that the answer still reaches the client. [`ANSWERS_END_DIVISOR`] limits
+/// this time.
 const ANSWERS_END_BEFORE_KILL: Duration = Duration::from_millis(300);
-/// Where deadlines are short, little time is left from the last accepted request to the kill: the time from the last
-/// answer to the kill is then at most one third of it.
+/// Limits [`ANSWERS_END_BEFORE_KILL`] to one third of the time from the last accepted request to the kill, which is
+/// shorter where deadlines are short. The other two thirds are for answering that request.
 const ANSWERS_END_DIVISOR: u32 = 3;
 /// The gateway still reads from clients during one third of the time from the last answer to the kill. The other two
-/// thirds are for closing the connections: 0.2 s of the 0.3 s of [`ANSWERS_END_BEFORE_KILL`], which is longer than the
-/// 0.15 s for which a machine may be paused.
+/// thirds are for closing the connections. Unless deadlines are short, those are longer than the 0.15 s for which a
+/// machine may be paused.
 const READ_DIVISOR: u32 = 3;
 /// Minimum time that clients have to close their side of a connection that the gateway has closed.
 const LAST_CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// How often a shutdown checks whether a step is complete. Short compared with [`ANSWERS_END_BEFORE_KILL`].
+/// Time between two checks whether a step of the shutdown is complete. Short compared with
+/// [`ANSWERS_END_BEFORE_KILL`].
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The times at which the steps of a shutdown end, counted from the signal.
