--- a/src/net/lifecycle/cluster_startup.rs
+++ b/src/net/lifecycle/cluster_startup.rs
@@ -20,8 +20,8 @@
 
 /// Nanoseconds per second.
 const NS_PER_S: i64 = 1_000_000_000;
-/// 2^64 divided by the golden ratio, made odd. Multiplying a gateway's number by it spreads neighbouring numbers over
-/// all bits, so that gateways that start in the same second get different random seeds.
+/// 2^64 divided by the golden ratio, an odd number. Multiplying a gateway's number by it spreads neighbouring numbers
+/// over all bits, so that gateways that start in the same second get different random seeds.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Builds all services that are enabled and allowed.
@@ -85,7 +85,7 @@
         operator_settings.fence_health_checks,
         Rc::clone(&parts.metrics),
     )
-    .map_err(|error| log!("takeover is off: {error}"))
+    .map_err(|error| log!("leases are off: {error}"))
     .ok()
     .map(Rc::new)
 }
--- a/src/net/lifecycle/error.rs
+++ b/src/net/lifecycle/error.rs
@@ -22,7 +22,7 @@
     RouterTaskFailed,
 }
 
-/// Why a gateway with a valid configuration could not be started.
+/// Why a gateway could not be started although its configuration could be read.
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// The asynchronous runtime could not be built.
@@ -51,8 +51,8 @@
     /// Site failover could not be started.
     #[error("{0}")]
     SiteFailover(#[source] Box<dyn StdError>),
-    /// The peer socket could not be opened. This error is only logged and the socket is tried again, so the process
-    /// goes on.
+    /// The peer socket could not be opened. This error is only logged and the socket is tried again, so it does not
+    /// end the process.
     #[error("{0}")]
     PeerSocket(#[source] Box<dyn StdError>),
 }
--- a/src/net/lifecycle/peer_socket_task.rs
+++ b/src/net/lifecycle/peer_socket_task.rs
@@ -54,7 +54,7 @@
     }
 }
 
-/// Opens the peer socket with these parts of the gateway.
+/// Opens the peer socket, and holds the parts of the gateway that the socket needs.
 struct PeerSocketOpener {
     peers: Peers,
     parts: SharedParts,
--- a/src/net/lifecycle/startup.rs
+++ b/src/net/lifecycle/startup.rs
@@ -134,7 +134,7 @@
 
 /// The channels to and from the discovery task.
 pub struct DiscoveryHandle {
-    /// The address of discovery, which the task follows when it changes.
+    /// The address of discovery. The task calls a new address once it is sent here.
     pub address: watch::Sender<SocketAddr>,
     /// Whether discovery has answered at least once.
     pub answered: watch::Receiver<bool>,
