--- a/src/net/config/error.rs
+++ b/src/net/config/error.rs
@@ -82,7 +82,7 @@
     /// The platform's settings cannot be used.
     #[error("settings: {0}")]
     Settings(#[source] Box<dyn StdError>),
-    /// The reloaded file lacks a key that the file before it had.
+    /// The reloaded file lacks a key that the previously loaded file had.
     #[error("{0} is missing")]
     KeyMissing(String),
     /// The value of `peers` is not a list of addresses.
--- a/src/net/config/file.rs
+++ b/src/net/config/file.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use std::net::SocketAddr;
 
-/// Radix of the random seed, which the file has as a hexadecimal number.
+/// Radix of the random seed, which is a hexadecimal number in the file.
 const SEED_RADIX: u32 = 16;
 
 /// The addresses by which gateways exchange datagrams.
@@ -56,7 +56,7 @@
 /// Resources that the process may use.
 #[derive(Default, Deserialize, PartialEq)]
 pub(super) struct Limits {
-    /// Memory for messages, in mebibytes.
+    /// Memory of the process, in mebibytes.
     pub(super) memory_mb: Option<usize>,
     /// Number of descriptors.
     pub(super) sockets: Option<usize>,
--- a/src/net/config/mod.rs
+++ b/src/net/config/mod.rs
@@ -14,19 +14,20 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// Path of the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_FILE_VARIABLE: &str = "BALANCER_CONFIG";
-/// The gateway's name, for its log.
+/// Environment variable with the gateway's name, for its log.
 const NAME_VARIABLE: &str = "BALANCER_NAME";
-/// The address on which clients connect.
+/// Environment variable with the address on which clients connect.
 const LISTEN_VARIABLE: &str = "BALANCER_LISTEN";
-/// The address of discovery. The address in a reloaded file takes precedence over it.
+/// Environment variable with the address of discovery. The address in a reloaded file takes precedence over it.
 const DISCOVERY_VARIABLE: &str = "BALANCER_DISCOVERY";
-/// The address on which the console listens.
+/// Environment variable with the address on which the console listens.
 const CONSOLE_VARIABLE: &str = "BALANCER_CONSOLE";
-/// Set if the platform holds the clients' listening socket and every process of the gateway inherits it.
+/// Environment variable that is set if the platform holds the clients' listening socket and every process of the
+/// gateway inherits it.
 const INHERITED_SOCKET_VARIABLE: &str = "BALANCER_PASSED_SOCKET";
-/// The directory shared by all processes of the gateway.
+/// Environment variable with the path of the directory that all processes of the gateway share.
 const SHARED_DIRECTORY_VARIABLE: &str = "TMPDIR";
 /// Name of the Unix socket in the shared directory at which an older process hands over to a newer one. All versions of
 /// the program use this name.
@@ -88,7 +89,7 @@
 }
 
 impl Config {
-    /// Reads the environment variables, with `variable` as the look-up, and the files that they name.
+    /// Reads the environment variables, whose values `variable` returns, and the files that they name.
     ///
     /// # Errors
     ///
@@ -127,7 +128,7 @@
 
     /// Reads the same file again. Its `discovery` takes precedence over the environment variable, which cannot have
     /// changed since the process started. The whole file is checked before anything changes: a file with which no
-    /// gateway could start, or that lacks a key of the file before it, is rejected.
+    /// gateway could start, or that lacks a key of the previously loaded file, is rejected.
     ///
     /// # Errors
     ///
--- a/src/net/config/operator_config.rs
+++ b/src/net/config/operator_config.rs
@@ -46,7 +46,7 @@
 pub struct SiteFailoverConfig {
     /// Off by default; needs leases.
     pub enabled: bool,
-    /// Capacity of a warm host of size one, in requests of mean cost per second.
+    /// Capacity of a host of size one that is not in slow start, in requests of mean cost per second.
     pub capacity_per_s: f64,
     /// For each zone, the zones that take over its load, in order of preference. Zones that are not listed come last.
     #[serde(rename = "prefer")]
@@ -62,8 +62,8 @@
     pub lost_host_share: f64,
     /// How long hosts are silent before their zone counts as lost, in milliseconds.
     pub lost_after_ms: u64,
-    /// A lost zone counts as recovering after this time, in milliseconds, in which the share of silent hosts was less
-    /// than half of `lost_part`.
+    /// A lost zone counts as recovering once the share of its silent hosts has been below half of `lost_part` for this
+    /// time, in milliseconds.
     #[serde(rename = "back_after_ms")]
     pub recovering_after_ms: u64,
     /// Share of its reads with which a recovering zone starts, above 0 and at most 1.
