--- a/src/net/endpoint_list.rs
+++ b/src/net/endpoint_list.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An address that has sent lists older than the newest known one for this long is assumed to have restarted its
-/// revisions, and its list is accepted. The time is long because the list of an address that merely lags would undo
-/// drains and drop hosts.
+/// If all lists from an address have been older than the newest known list for this long, the address is assumed to
+/// have restarted its revisions, and its list is accepted. The time is long because the list of an address that merely
+/// lags would undo drains and drop hosts.
 const REVISION_RESET_DELAY: Duration = Duration::from_secs(60);
 /// Size of a host whose entry has no size.
 const DEFAULT_SIZE: f64 = 1.0;
@@ -116,7 +116,7 @@
         self.behind_since = None;
     }
 
-    /// Returns the revision since which the next call requests changes, or `None` if it requests the whole list.
+    /// Returns the revision from which on the next call requests changes, or `None` if it requests the whole list.
     pub(super) fn changes_from(&self) -> Option<Revision> {
         self.revision.filter(|_| !self.needs_full_list)
     }
--- a/src/net/hot_restart.rs
+++ b/src/net/hot_restart.rs
@@ -154,7 +154,8 @@
 }
 
 impl HotRestart {
-    /// Creates the hot restart at this Unix socket. No connection is made yet.
+    /// Creates the hot-restart state of this process. `socket_path` is the path of the Unix socket at which processes
+    /// hand over. No connection is made yet.
     pub fn new(socket_path: PathBuf, dependencies: Dependencies) -> Self {
         Self {
             socket_path,
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -3,10 +3,10 @@
 use std::cell::Cell;
 use std::time::{Duration, Instant};
 
-/// Maximum number of log lines in a period. Without it, a failing host causes a line for each request, and a slow
+/// Maximum number of log lines in a period. Without a limit, a failing host causes a line for each request, and a slow
 /// reader of the pipe then blocks the gateway's thread.
 const MAX_LINES_PER_PERIOD: u32 = 20;
-/// Length of the period over which lines are counted.
+/// Duration of the period over which lines are counted.
 const PERIOD: Duration = Duration::from_secs(1);
 
 /// The number of lines in the current period.
@@ -20,7 +20,7 @@
 }
 
 /// Counts one more line. Returns `None` if the line must not be written. Otherwise returns, for the first line of a
-/// period, the number of lines suppressed in the last period, and 0 for every other line.
+/// period, the number of lines suppressed in the previous period, and 0 for every other line.
 pub fn admit() -> Option<u32> {
     LINE_COUNT.with(|count| {
         let now = Instant::now();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -136,7 +136,7 @@
     i64::try_from(duration.as_nanos()).map_or(TimeDelta::MAX, TimeDelta::from_nanos)
 }
 
-/// Returns the Unix time in milliseconds, which is the same on all machines of the platform.
+/// Returns the Unix time in milliseconds. All machines of the platform read it from one clock.
 pub fn unix_milliseconds() -> u64 {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/net/serving_state.rs
+++ b/src/net/serving_state.rs
@@ -2,7 +2,8 @@
 
 use tokio::sync::watch;
 
-/// Whether, and how, the process serves clients.
+/// Whether, and how, the process serves clients. The modes after `Serving` are listed in the order in which a process
+/// passes through them when it ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingMode {
     /// The process is starting and does not serve clients yet.
