--- a/src/net/cluster/endpoint_watch.rs
+++ b/src/net/cluster/endpoint_watch.rs
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Waits until another gateway watches a list that is at least as new, so that this gateway can stop its own watch.
+    /// Waits until another gateway watches a list that is at least as new as this gateway's, so that this gateway's own
+    /// watch is no longer needed.
     pub async fn superseded(&self, position: &ListPosition) {
         loop {
             self.heartbeat_received.notified().await;
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Returns how this gateway is to poll the list now, or `None` if it is to wait.
+    /// Returns how this gateway is to poll the list now, or `None` if it is to wait first.
     pub fn next_poll(&self, position: &ListPosition) -> Option<PollKind> {
         match self.decide_poll(position) {
             PollDecision::Watch => Some(self.start_watch()),
--- a/src/net/cluster/leases.rs
+++ b/src/net/cluster/leases.rs
@@ -188,8 +188,8 @@
         self.fencing_enabled.then_some(Fence { task, epoch })
     }
 
-    /// Records that a database host rejected the fencing token of a group's health check, so that the lease is no
-    /// longer held. Returns the datagrams to send.
+    /// Records that a database host rejected the fencing token of a group's health check. This gateway then no longer
+    /// holds the lease. Returns the datagrams to send.
     pub fn token_rejected(&self, group: GroupId) -> Vec<OutgoingDatagram> {
         increment(&self.metrics.leases.fenced);
         let mut manager = self.manager.borrow_mut();
--- a/src/net/cluster/membership.rs
+++ b/src/net/cluster/membership.rs
@@ -4,7 +4,7 @@
 //!
 //! The peer socket is shared with other protocols and passes on only the datagrams whose first byte is that of
 //! membership. Each change of the view is logged in one line and counted; the console command `members` and SIGUSR1
-//! print the whole view. Health-check results from a gateway that is down in the view are not used.
+//! print the whole view. The reports of a gateway that is down in the view are not used.
 
 use crate::net::cluster::outbox::{Outbox, OutgoingDatagram};
 use crate::net::cluster::service_clock::ServiceClock;
@@ -105,7 +105,8 @@
         self.clock.instant_of(self.core.borrow().next_due())
     }
 
-    /// Returns whether health-check results from a gateway are used. They are not if the gateway is down in the view.
+    /// Returns whether the reports of a gateway are used: its health-check results, its heartbeats of the endpoint
+    /// watch, and its load reports and plans of site failover. They are not if the gateway is down in the view.
     pub fn accepts_from(&self, gateway: GatewayId) -> bool {
         self.core.borrow().view().accepts_from(gateway)
     }
--- a/src/net/cluster/peer_socket.rs
+++ b/src/net/cluster/peer_socket.rs
@@ -133,7 +133,7 @@
         let socket = Rc::new(socket);
         // An older process of this gateway may have used the address until now. It may have granted
         // leases to other gateways or recorded write intents for them, which this process does not
-        // know. Both services are therefore told when this process took over.
+        // know. Both services have to allow for that, so they are notified that the socket is open.
         if let Some(leases) = &dependencies.services.leases {
             leases.on_socket_opened();
         }
--- a/src/net/cluster/shared_health_checks.rs
+++ b/src/net/cluster/shared_health_checks.rs
@@ -192,8 +192,8 @@
         result
     }
 
-    /// Sends results to all gateways. Lost datagrams are not retransmitted: gateways that receive
-    /// no results run rounds of their own.
+    /// Sends results to all gateways. Lost datagrams are not retransmitted, because a loss only
+    /// delays what the other gateways know: those that receive no results run rounds of their own.
     fn broadcast_results(&self, results: &[SharedHealthCheck]) {
         let checked_at = to_unix_nanoseconds(self.clock.now());
         for chunk in results.chunks(message::MAX_RESULTS) {
--- a/src/net/cluster/site_failover.rs
+++ b/src/net/cluster/site_failover.rs
@@ -50,7 +50,7 @@
 pub struct SiteFailoverConfig {
     /// Settings of the planner and of the followers.
     pub settings: Settings,
-    /// Capacity of a warmed-up host of size 1, in requests per second.
+    /// Capacity of a host of size 1 that is not in slow start, in requests per second.
     pub capacity_per_s: f64,
 }
 
--- a/src/net/cluster/site_failover_planning.rs
+++ b/src/net/cluster/site_failover_planning.rs
@@ -15,10 +15,10 @@
 /// Load reports older than this are removed, so that a gateway that stopped reporting is no longer
 /// counted.
 const REPORT_EXPIRY: Milliseconds = Milliseconds(3_000);
-/// Start value of the countdown that limits how often inactive plans, which change nothing, are
-/// sent: each of them decrements the countdown, and is sent if the result is above 0. They are sent
-/// several times because datagrams may be lost; a gateway that receives none of them follows the
-/// last plan until that plan expires.
+/// Start value of the countdown that limits how often an inactive plan is sent. An inactive plan
+/// changes nothing. Each one decrements the countdown, and is sent if the result is above 0. It is
+/// sent several times because datagrams may be lost: a gateway that receives none of them follows
+/// the last active plan until that plan expires.
 const INACTIVE_PLAN_COUNTDOWN: u32 = 6;
 
 /// The planner of this gateway, with the load reports that it works from.
@@ -29,7 +29,7 @@
     last_epoch: Cell<Epoch>,
     /// Countdown from [`INACTIVE_PLAN_COUNTDOWN`], restarted by each plan that changes anything.
     inactive_plan_countdown: Cell<u32>,
-    /// Capacity of a warmed-up host of size 1, in requests per second.
+    /// Capacity of a host of size 1 that is not in slow start, in requests per second.
     capacity_per_s: f64,
 }
 
--- a/src/net/cluster/write_intents.rs
+++ b/src/net/cluster/write_intents.rs
@@ -70,7 +70,7 @@
     }
 
     /// Records that this process receives datagrams from now on. Intents that were replicated to an older process of
-    /// this gateway are not known to this one.
+    /// this gateway are not known to this one, so it does not report a write as unknown until they have expired.
     pub fn on_socket_opened(&self) {
         self.store.borrow_mut().on_socket_opened(self.clock.now());
     }
