--- a/crates/datagram/src/reader.rs
+++ b/crates/datagram/src/reader.rs
@@ -74,8 +74,8 @@
     /// Reads a one-byte count, then that many items of `item_bytes` bytes each, which must end at the end of the
     /// datagram.
     ///
-    /// The remaining length is compared with the count before any item is read, so that a forged count cannot cause a
-    /// large allocation.
+    /// The remaining length is compared with the count before any item is read, so that memory is only
+    /// allocated for items that have arrived, whatever the count is.
     ///
     /// # Errors
     /// The remaining length does not match the count, or `read_item` fails.
--- a/crates/gossip/src/health_check_schedule.rs
+++ b/crates/gossip/src/health_check_schedule.rs
@@ -3,7 +3,7 @@
 //! For each group, rendezvous hashing gives the gateways a fixed order. The gateway that ran the
 //! last round runs the next one, a period later. The others are on standby: each has a due time
 //! that is one `STANDBY_INTERVAL` after that of the preceding gateway in the group's order, and
-//! starts the round if no other gateway has started it by then. Therefore
+//! starts the round if no other gateway has started it by then. Therefore:
 //!
 //! - a group is checked once a period, however many gateways there are;
 //! - a failed gateway is replaced after one interval for each failed gateway that precedes the
--- a/crates/gossip/tests/health_check_schedule.rs
+++ b/crates/gossip/tests/health_check_schedule.rs
@@ -132,8 +132,8 @@
     assert_eq!(schedule.next_due(), next_due);
 }
 
-/// The sorted due times must give the same next round as a search over the schedules of all single
-/// groups.
+/// The schedule sorts the rounds by due time. Its next due time must be the earliest one among
+/// separate schedules that have one group each.
 #[test]
 fn next_round_is_that_of_the_group_which_is_due_first() {
     let mut schedule = HealthCheckSchedule::new(GatewayId(0), 3);
--- a/src/platform_settings/mod.rs
+++ b/src/platform_settings/mod.rs
@@ -43,8 +43,8 @@
     pub zones: NameTable,
     /// Number of this gateway among the gateways of its tier.
     pub gateway_number: u32,
-    /// Whether gateways share health checks: they may send one another datagrams, hosts may be checked, and there are
-    /// enough gateways for it to be worth the datagrams.
+    /// Whether gateways share health checks. They do if they may send one another datagrams, hosts may be checked, and
+    /// there are at least `MIN_GATEWAYS_TO_SHARE` gateways, so that sharing is worth the datagrams.
     pub shares_health_checks: bool,
     /// Whether gateways may send one another datagrams (the platform's `Bounds.Peers`), whatever their number.
     pub peers_allowed: bool,
--- a/src/platform_settings/name_table.rs
+++ b/src/platform_settings/name_table.rs
@@ -1,4 +1,4 @@
-//! A table that numbers names.
+//! A table that assigns numbers to names.
 
 /// A table of names. Each name has a number; numbers are assigned in the order in which names are added.
 #[derive(Clone, Debug, Default)]
--- a/src/platform_settings/object.rs
+++ b/src/platform_settings/object.rs
@@ -25,7 +25,7 @@
     pub(super) priority_weight: f64,
 }
 
-/// Costs, as parts of the total weight.
+/// Costs, as shares of the total priority weight.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub(super) struct WirePenalties {
