--- a/src/net/downstream/client_input.rs
+++ b/src/net/downstream/client_input.rs
@@ -1,5 +1,6 @@
-//! Reads a client's input, either while waiting for the next message, which several events can interrupt, or while
-//! waiting for an answer, during which the client may disconnect.
+//! Reads a client's input in two situations: while the gateway waits for the client's next message, until input arrives
+//! or a drain, an eviction or a time-out ends the wait; and while the client waits for an answer, to notice when the
+//! client disconnects.
 //!
 //! While a request waits for its answer, the messages behind it are read ahead as far as memory allows. Further
 //! messages are dropped, and each is rejected in its turn, so that the gateway still notices when the client
@@ -85,7 +86,7 @@
 }
 
 impl ClientConnection {
-    /// Waits for more input and reads it. The connection may be drained or evicted while it waits, and closed then.
+    /// Waits for more input and reads it. A drain or an eviction may close the connection during the wait.
     pub(super) async fn read_more(
         &mut self,
         kind: WaitKind,
@@ -172,7 +173,8 @@
         Ok(ReadProgress::Read)
     }
 
-    /// Returns the number of bytes that were read, or `None` if no bytes were available.
+    /// Returns the number of bytes that were read, or `None` if no bytes were available. Ends the pause in reading that
+    /// a long write began once the socket holds no more input.
     fn handle_read_result(
         &mut self,
         result: io::Result<usize>,
@@ -226,12 +228,12 @@
         complete_by.min(self.last_input_at + SILENCE_TIMEOUT)
     }
 
-    /// Reads the available input without waiting: the runtime may report a socket as readable when it is not, and a
-    /// blocking read would then have no time limit.
+    /// Reads the available input without waiting. The runtime may report a socket as readable when it is not, and a
+    /// read that waited for bytes would then have no time limit.
     fn read_available(&mut self, purpose: ReadPurpose) -> Result<ReadProgress, ConnectionEnd> {
         // A client that never stops sending must not keep its connection open until the process is killed: once the
         // shutdown has ended reading, only the rest of a partial message is read.
-        let max_bytes = if self.listener.request_context.reading_is_over() {
+        let max_bytes = if self.listener.request_context.reading_has_ended() {
             self.input.missing_bytes()
         } else {
             usize::MAX
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -127,7 +127,7 @@
 }
 
 impl ClientConnection {
-    /// The counters of the process.
+    /// Returns the counters of the process.
     pub(super) fn metrics(&self) -> &Metrics {
         &self.listener.request_context.metrics
     }
@@ -156,8 +156,8 @@
         if !self.listener.serving_state.mode().disconnects_clients() || !self.input.is_empty() {
             return Ok(false);
         }
-        let reading_is_over = self.listener.request_context.reading_is_over();
-        Ok(reading_is_over || !self.read_before_close()?)
+        let reading_has_ended = self.listener.request_context.reading_has_ended();
+        Ok(reading_has_ended || !self.read_before_close()?)
     }
 
     /// Reads and answers the client's startup messages, up to and including the first ReadyForQuery.
--- a/src/net/downstream/connection_limit.rs
+++ b/src/net/downstream/connection_limit.rs
@@ -23,7 +23,7 @@
 /// Interval between two calls of [`ConnectionLimit::evict_longest_idle`]: short compared with [`CROWDED_IDLE_GRACE`].
 pub const IDLE_EVICTION_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Why a connection may be evicted: its client is not waiting for an answer.
+/// State of a connection whose client is not waiting for an answer, so that the connection may be evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WaitKind {
     /// The connection is being rejected or closed, and stays open only until the client has received the last message.
@@ -54,7 +54,7 @@
 pub struct ConnectionLimit {
     /// Maximum number of connections that count towards the limit, over all processes of this gateway.
     limit: usize,
-    /// Number of connections above which idle ones are evicted sooner.
+    /// Maximum number of connections that are usually open. Above it, idle ones are evicted sooner.
     crowding_threshold: usize,
     /// Descriptors that another process of this gateway uses for its clients and itself during a hot restart.
     other_process_descriptors: Cell<usize>,
@@ -84,8 +84,8 @@
 }
 
 impl ConnectionLimit {
-    /// Creates a limit of `limit` connections. While more than `crowding_threshold` of them are open, idle ones are
-    /// evicted sooner.
+    /// Creates a limit of `limit` connections. While more than `crowding_threshold` of them are open, which is the
+    /// usual maximum, idle ones are evicted sooner.
     pub fn new(limit: usize, crowding_threshold: usize) -> Rc<Self> {
         Rc::new(ConnectionLimit {
             limit,
--- a/src/net/downstream/input_buffer.rs
+++ b/src/net/downstream/input_buffer.rs
@@ -19,9 +19,9 @@
 /// The purpose of a read, which decides how much memory it may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// Reads the message that is processed next.
+    /// The read is for the message that is processed next.
     NextMessage,
-    /// Reads messages behind a request that has no answer yet. Such reads must leave memory for the answers.
+    /// The read is for messages behind a request that has no answer yet, so it must leave memory for the answers.
     ReadAhead,
 }
 
--- a/src/net/downstream/query.rs
+++ b/src/net/downstream/query.rs
@@ -17,8 +17,8 @@
 use thiserror::Error;
 use tokio::sync::oneshot;
 
-/// How far a client's required position may be ahead of this process's clock. A position far in the future would make
-/// the request wait for it until its deadline, or overflow.
+/// How far a client's required position may be ahead of this process's clock. A request for a position that does
+/// not exist yet would wait for it, and calculations with a position far in the future could overflow.
 const MAX_POSITION_LEAD: TimeDelta = TimeDelta::from_secs(1);
 
 /// Why a statement cannot be converted into a request. The text is the message of the client's error response.
--- a/src/net/request/attempts.rs
+++ b/src/net/request/attempts.rs
@@ -138,7 +138,8 @@
         }
     }
 
-    /// Returns the attempt that a joined task ran, with its result. An aborted task counts as cancelled.
+    /// Returns the attempt that a joined task ran, with its result. A task that was aborted, or that panicked, counts as
+    /// cancelled.
     pub(super) fn ended_attempt(&self, joined: JoinedAttempt) -> Option<EndedAttempt> {
         let (task, result) = match joined {
             Ok((task, result)) => (task, result),
@@ -152,7 +153,7 @@
     }
 }
 
-/// The parameters of an attempt that its task runs with.
+/// The parameters that the task of an attempt runs with.
 struct AttemptTask {
     context: Rc<RequestContext>,
     statement: Rc<Statement>,
@@ -194,7 +195,7 @@
                 attempt: self.attempt_number,
                 answer,
             };
-            // Sending fails if the request has ended; dropping the answer then ends the stream.
+            // Sending fails if the task of the request has ended. The answer is dropped then, which ends the stream.
             let _ = self.stream_sender.send(stream);
         };
         let upstream = &self.context.upstream;
--- a/src/net/request/context.rs
+++ b/src/net/request/context.rs
@@ -41,7 +41,7 @@
     pub write_intents: Option<Rc<WriteIntentService>>,
     /// Site failover; `None` unless the operators have enabled it.
     pub site_failover: Option<Rc<SiteFailoverService>>,
-    /// Ids of the open requests.
+    /// Ids of the open requests: those that are not finished, or that have an attempt which has not ended.
     pub open_ids: RefCell<HashSet<Box<str>>>,
 }
 
@@ -54,7 +54,7 @@
     }
 
     /// Returns whether the gateway is shutting down and no longer reads requests.
-    pub fn reading_is_over(&self) -> bool {
+    pub fn reading_has_ended(&self) -> bool {
         let now = Instant::now();
         let deadlines = *self.shutdown.borrow();
         deadlines.is_some_and(|deadlines| deadlines.read_until <= now)
--- a/src/net/request/lifecycle.rs
+++ b/src/net/request/lifecycle.rs
@@ -73,7 +73,8 @@
     /// Time at which the request fails if the router has not decided.
     decision_deadline: Instant,
     /// Receives the shutdown deadlines once the gateway shuts down, because answers may then be due earlier. `None` if
-    /// the shutdown had begun when the request arrived_at: its deadline takes the shutdown into account already.
+    /// the shutdown had already begun when the request arrived, because its deadline then takes the shutdown into
+    /// account.
     shutdown: Option<watch::Receiver<Option<ShutdownDeadlines>>>,
     // The id and the class are held until the last attempt has ended.
     _open_id: OpenId,
--- a/src/net/request/write_intent.rs
+++ b/src/net/request/write_intent.rs
@@ -11,7 +11,8 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Minimum remaining part of the resend window for a write to be sent again, because the decision takes time too.
+/// A write is sent again only if more than this time is left of its resend window, because deciding on it takes a
+/// moment.
 const MIN_TIME_TO_RESEND: Duration = Duration::from_millis(5);
 
 /// The reason why a keyed write that may have run at another gateway is not sent. The client gets the same answer in
@@ -39,7 +40,8 @@
 pub(super) struct WriteIntent {
     write_intents: Rc<WriteIntentService>,
     key: KeyHash,
-    /// Time from which on an earlier attempt of another gateway may have run; `None` if there is no such attempt.
+    /// Time from which on an earlier attempt of another gateway may have run; `None` if no such attempt is
+    /// known.
     earlier_attempt_sent_at: Option<UnixMilliseconds>,
     record_state: Cell<RecordState>,
     /// Whether an attempt of this gateway may have run.
--- a/src/net/router_task.rs
+++ b/src/net/router_task.rs
@@ -1,6 +1,6 @@
 //! The task that owns the [`Router`]: it feeds the router with events and carries out its actions.
 //!
-//! Tasks post events as they happen; the router processes all events that are queued when its task wakes up as one
+//! Tasks post events as they happen. Whenever the router task wakes up, the router processes all queued events in one
 //! batch.
 
 use crate::net::upstream::Upstream;
@@ -68,7 +68,8 @@
         self.wakeup.notify_one();
     }
 
-    /// Returns a snapshot of what the router has observed; an empty one if the router task has ended.
+    /// Returns a snapshot of what the router has observed. It is empty if the router task drops the request for it
+    /// without an answer.
     pub async fn snapshot(&self) -> RoutingSnapshot {
         let (sender, snapshot) = oneshot::channel();
         self.snapshot_requests.borrow_mut().push(sender);
--- a/src/net/upstream/drains.rs
+++ b/src/net/upstream/drains.rs
@@ -18,7 +18,7 @@
     /// Endpoint list that the fleet's watcher announced last, as long as it is newer than this gateway's list.
     announced: RefCell<Option<AnnouncedList>>,
     /// Whether only drains in the endpoint list stop requests to a host. If so, requests may still be sent to a host
-    /// that was removed from the list without having been drained.
+    /// that the list reports as removed, or no longer contains, unless the host was drained before.
     pub(super) only_listed_drains_bind: Cell<bool>,
 }
 
--- a/src/net/upstream/host.rs
+++ b/src/net/upstream/host.rs
@@ -38,7 +38,8 @@
     /// Counter that is incremented when the host's process or address changes, or the host is terminated. A connection
     /// to an earlier incarnation is not reused.
     pub(super) incarnation: u64,
-    /// Time at which the host was removed from the endpoint list; `None` while the list contains it.
+    /// Time at which the endpoint list first reported the host as removed or no longer contained it; `None` while the
+    /// host is listed.
     pub(super) removed_at: Option<Instant>,
     /// Whether a drain command, or an announced list that is newer than this gateway's, takes the host out of service,
     /// whatever this gateway's list says.
--- a/src/net/upstream/host_lookup.rs
+++ b/src/net/upstream/host_lookup.rs
@@ -86,7 +86,7 @@
         hosts.map(|host| host.in_flight.get()).sum()
     }
 
-    /// Returns the name of the host with this fleet id; the text `host` and the id if no host is known by it.
+    /// Returns the name of the host with this fleet id; if there is none, the word `host` followed by the id.
     pub fn host_name(&self, fleet_id: HostId) -> String {
         let registry = self.registry.borrow();
         let host = registry.hosts.with_fleet_id(fleet_id).next();
--- a/src/net/upstream/load_report.rs
+++ b/src/net/upstream/load_report.rs
@@ -6,12 +6,13 @@
 
 pub(super) const NANOSECONDS_PER_MILLISECOND: i64 = 1_000_000;
 const MILLISECONDS_PER_SECOND: f64 = 1_000.0;
-/// Maximum time that a position may be ahead of this gateway's clock, because clocks differ by less. A position too far
-/// in the future would make its host count as recent enough for ever.
+/// Maximum time that a position may be ahead of this gateway's clock; clocks differ by less. A position in the future
+/// would make its host count as recent enough for ever.
 const MAX_POSITION_AHEAD: TimeDelta = TimeDelta::from_millis(100);
 /// Maximum number of requests in flight that is accepted from a report; no host has more.
 const MAX_IN_FLIGHT: f64 = 1e6;
-/// Maximum share of cores in use that is accepted from a report: above 1, because reports are noisy, but not by more.
+/// Maximum share of cores in use that is accepted from a report. Noise can take the reported share above 1, but not
+/// above this value.
 const MAX_CORES_IN_USE: f64 = 2.0;
 /// Added to a position in milliseconds before it is rounded down. Most positions in seconds are not exact as binary
 /// fractions, and without this, one of a whole number of milliseconds could be rounded down to the previous
--- a/src/net/upstream/pool.rs
+++ b/src/net/upstream/pool.rs
@@ -9,8 +9,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Interval between calls of [`Upstream::close_idle`]. It is far shorter than the time from this gateway's idle timeout
-/// to the host's, which is a fifth of the host's.
+/// Interval between calls of [`Upstream::close_idle`]. It is far shorter than the time by which this gateway's idle
+/// timeout is shorter than a host's own, which is a fifth of the host's timeout.
 pub const IDLE_CLOSE_INTERVAL: Duration = Duration::from_millis(500);
 /// Minimum time that a connection is idle before it is reused. Bytes that a host sends after a complete reply, such as
 /// a second copy of it, arrive in this time, so that they are not read as the reply to the next request.
@@ -108,9 +108,9 @@
         Some(CountGuard::new(&host.in_flight))
     }
 
-    /// Closes idle connections that exceed the limit, that have reached their idle timeout, so that they are closed
-    /// before their hosts do it, or that their hosts have closed already. Deletes hosts that were removed from the
-    /// endpoint list at least [`REMOVED_HOST_RETENTION`] ago.
+    /// Closes idle connections that exceed the limit, that their hosts have closed already, or that have reached this
+    /// gateway's idle timeout, which is shorter than the hosts'. Deletes hosts that accept no requests and were removed
+    /// from the endpoint list at least [`REMOVED_HOST_RETENTION`] ago.
     pub fn close_idle(&self) {
         while self.total_connections() > self.limits.max_connections && self.close_longest_idle() {}
         let mut registry = self.registry.borrow_mut();
--- a/src/net/upstream/registry.rs
+++ b/src/net/upstream/registry.rs
@@ -23,7 +23,7 @@
 /// run.
 const IDLE_TIMEOUT_SHARE: f64 = 0.8;
 
-/// All database hosts of the endpoint list, and the connections to them.
+/// All database hosts that the endpoint list contains or contained recently, and the connections to them.
 ///
 /// Shared by the router task, the requests, discovery and the cluster's services, which all run on one thread. No
 /// borrow of the registry is held across an await, so the registry may change while an attempt waits.
@@ -164,7 +164,8 @@
         endpoint.expect("the host is in the table")
     }
 
-    /// Marks hosts as removed that are removed in the list, and those that a complete list does not contain.
+    /// Marks as removed the hosts that the list reports as removed, and those that a complete list does not contain.
+    /// Clears the mark of the other hosts in the list.
     fn mark_removed_hosts(
         &mut self,
         endpoints: &[Endpoint],
--- a/src/net/upstream/reply.rs
+++ b/src/net/upstream/reply.rs
@@ -85,7 +85,7 @@
     row: Buffer,
 }
 
-/// How far the bytes that have been read reach.
+/// The result of parsing the bytes that have been read so far.
 enum ParseProgress {
     /// More bytes must be read.
     Incomplete,
@@ -108,7 +108,7 @@
     }
 
     /// Reads messages up to ReadyForQuery, or up to a long row if those are streamed. If the connection ends after an
-    /// error or a whole row, the reply counts as complete.
+    /// error, or after a row and its CommandComplete, the reply counts as complete.
     pub(super) async fn read(
         mut self,
         connection: &mut Connection,
@@ -131,7 +131,7 @@
                 Ok(n) if n > 0 => {}
                 // An interrupted read says nothing about the host, so it is repeated.
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // After an error or a whole row, no other message of the reply is needed.
+                // After an error, or a row and its CommandComplete, no other message of the reply is needed.
                 _ if self.reply.error.is_some() || self.reply.served() => {
                     return Ok(self.complete())
                 }
@@ -162,7 +162,7 @@
             }
             self.unread.advance(end);
             if self.reply.ready {
-                // If bytes follow the reply, which belong to no request, the connection is not reused.
+                // Bytes after the reply belong to no request; a connection with such bytes is not reused.
                 self.reply.ready = self.unread.is_empty();
                 return Ok(ParseProgress::Complete);
             }
--- a/tests/unit/hot_restart.rs
+++ b/tests/unit/hot_restart.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn usage_of_both_sides_adds_up_and_is_kept_apart() {
+fn usage_of_each_side_is_kept_separately_and_adds_up_to_the_total() {
     let others = UsageBySide::default();
     others.set(Side::Predecessor, usage(10));
     others.set(Side::Successor, usage(1));
--- a/tests/unit/poll_interval.rs
+++ b/tests/unit/poll_interval.rs
@@ -59,7 +59,7 @@
         let mut pacer = PollPacer::new(seed);
         pacer.record_answer();
         let watch_timeout = pacer.call_limits(None).answer_timeout;
-        let first_delay = pacer.retry_delay(None);
+        let first_pause = pacer.retry_delay(None);
         let second_call = pacer.call_limits(None);
         assert_eq!(
             second_call.hold,
@@ -67,7 +67,7 @@
             "missed changes arrive at once"
         );
         let worst_case = watch_timeout
-            + first_delay
+            + first_pause
             + second_call.answer_timeout
             + pacer.retry_delay(None)
             + pacer.call_limits(None).answer_timeout;
--- a/tests/unit/service_clock.rs
+++ b/tests/unit/service_clock.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn instant_of_overdue_work_is_the_millisecond_that_has_begun() {
+fn instant_of_overdue_work_is_the_current_millisecond() {
     let clock = ServiceClock::start();
     std::thread::sleep(Duration::from_millis(3));
     let before = clock.now();
--- a/tests/unit/shutdown.rs
+++ b/tests/unit/shutdown.rs
@@ -31,9 +31,9 @@
             answer_by < read_until && kill_at - read_until >= Duration::from_millis(40),
             "{ms} ms: read until {read_until:?} of {kill_at:?}"
         );
-        let longest_pause = Duration::from_millis(150);
+        let process_pause = Duration::from_millis(150);
         assert!(
-            ms < 500 || kill_at - read_until > longest_pause,
+            ms < 500 || kill_at - read_until > process_pause,
             "{ms} ms: {read_until:?}"
         );
         assert!(
