--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -15,7 +15,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout, Instant};
 
-/// Path at which discovery serves the whole endpoint list or, with a query string, the changes to it.
+/// Path at which discovery serves the complete endpoint list or, with a query string, the changes to it.
 const ENDPOINT_LIST_PATH: &str = "/discovery/hosts";
 
 /// Why a call to discovery failed. The text goes to the log.
@@ -67,7 +67,7 @@
 }
 
 /// Polls the address that `addresses` holds for the endpoint list, and applies each change before the next call. A new
-/// address is called at once, for the whole list. Sets `answered` to `true` once any address has answered. Returns only
+/// address is called at once, for the complete list. Sets `answered` to `true` once any address has answered. Returns only
 /// when the sender of `addresses` is dropped.
 pub async fn watch(
     mut addresses: watch::Receiver<SocketAddr>,
@@ -174,7 +174,7 @@
         endpoint_watch.next_poll(&self.position)
     }
 
-    /// Returns the request for the changes since the current revision, or for the whole list.
+    /// Returns the request for the changes since the current revision, or for the complete list.
     fn poll_request(&mut self, address: SocketAddr, kind: PollKind) -> PollRequest {
         let sharing_gateways = self.sharing_gateways();
         let limits = self.pacer.call_limits(sharing_gateways);
--- a/src/net/downstream/input_buffer.rs
+++ b/src/net/downstream/input_buffer.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Number of unprocessed bytes from which messages are dropped instead of read ahead: room for several messages of
-/// maximum size.
+/// Number of unprocessed bytes from which messages are dropped instead of read ahead: enough for several messages
+/// of maximum size.
 const MAX_INPUT_AHEAD: usize = 4 * pg::MAX_MESSAGE_SIZE;
 /// Minimum space reserved for one read, in bytes.
 const MIN_READ_SPACE: usize = 1024;
--- a/src/net/upstream/health_check.rs
+++ b/src/net/upstream/health_check.rs
@@ -70,7 +70,7 @@
             Ok(query_reply) => self.health_check_reply(&query_reply.reply, fence),
             Err(outcome) => outcome.into(),
         };
-        // A check whose whole timeout passed while it waited for a connection counts as unanswered for reachability.
+        // A check that timed out while it waited for a connection counts as unanswered for reachability.
         // The router gets the outcome "not sent", which says nothing about the host.
         let waited_for_connection = reply.outcome == Outcome::NotSent;
         let timed_out = waited_for_connection && start.elapsed() >= self.connect_timeout();
--- a/src/net/upstream/reply.rs
+++ b/src/net/upstream/reply.rs
@@ -79,7 +79,7 @@
 /// Reads a reply from a connection.
 pub(super) struct ReplyReader {
     reply: Reply,
-    /// Bytes that have been read but not parsed, because they do not form a whole message yet.
+    /// Bytes that have been read but not parsed, because they do not form a complete message yet.
     unread: Buffer,
     /// Messages of the row that have been parsed.
     row: Buffer,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Parses the whole messages that have been read.
+    /// Parses the complete messages that have been read.
     fn parse_messages(
         &mut self,
         long_row_handling: LongRowHandling,
