--- a/src/net/discovery/client.rs
+++ b/src/net/discovery/client.rs
@@ -67,8 +67,8 @@
 }
 
 /// Polls the address that `addresses` holds for the endpoint list, and applies each change before the next call. A new
-/// address is called at once, for the complete list. Sets `answered` to `true` once any address has answered. Returns only
-/// when the sender of `addresses` is dropped.
+/// address is called at once, for the complete list. Sets `answered` to `true` once any address has answered. Returns
+/// only when the sender of `addresses` is dropped.
 pub async fn watch(
     mut addresses: watch::Receiver<SocketAddr>,
     position: ListPosition,
--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -24,8 +24,8 @@
 /// How long the gateway keeps reading from a client after closing its own side of the connection: far longer than a
 /// round trip, so that the last answer arrives.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of bytes that are read and discarded while lingering: enough for several messages of maximum size, but
-/// not for an endless stream.
+/// Maximum number of bytes that are read and discarded while lingering: enough for several messages of maximum size,
+/// but not for an endless stream.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
 /// Maximum number of request ids in one log line.
