--- a/src/net/request/attempts.rs
+++ b/src/net/request/attempts.rs
@@ -138,8 +138,8 @@
         }
     }
 
-    /// Returns the attempt that a joined task ran, with its result. A task that was aborted, or that panicked, counts as
-    /// cancelled.
+    /// Returns the attempt that a joined task ran, with its result. A task that was aborted, or that panicked, counts
+    /// as cancelled.
     pub(super) fn ended_attempt(&self, joined: JoinedAttempt) -> Option<EndedAttempt> {
         let (task, result) = match joined {
             Ok((task, result)) => (task, result),
--- a/src/net/upstream/exchange.rs
+++ b/src/net/upstream/exchange.rs
@@ -32,8 +32,8 @@
 }
 
 impl Upstream {
-    /// Writes a query and reads its reply. A long reply is streamed to `on_stream`; without `on_stream`, it is read as a
-    /// whole. The connection is reused only after a complete reply.
+    /// Writes a query and reads its reply. A long reply is streamed to `on_stream`; without `on_stream`, it is read
+    /// as a whole. The connection is reused only after a complete reply.
     ///
     /// # Errors
     ///
