--- a/src/net/downstream/connection.rs
+++ b/src/net/downstream/connection.rs
@@ -24,8 +24,8 @@
 /// How long the gateway keeps reading from a client after closing its own side of the connection: far longer than a
 /// round trip, so that the last answer arrives.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of bytes that are read and discarded while lingering: room for several messages of maximum size, but
-/// not for an endless stream.
+/// Maximum number of bytes that are read and discarded while lingering: enough for several messages of maximum size,
+/// but not for an endless stream.
 const MAX_LINGER_BYTES: usize = 1 << 20;
 
 /// Maximum number of request ids in one log line.
@@ -127,7 +127,7 @@
 }
 
 impl ClientConnection {
-    /// The counters of the process.
+    /// Returns the counters of the process.
     pub(super) fn metrics(&self) -> &Metrics {
         &self.listener.request_context.metrics
     }
@@ -156,8 +156,8 @@
         if !self.listener.serving_state.mode().disconnects_clients() || !self.input.is_empty() {
             return Ok(false);
         }
-        let reading_is_over = self.listener.request_context.reading_is_over();
-        Ok(reading_is_over || !self.read_before_close()?)
+        let reading_has_ended = self.listener.request_context.reading_has_ended();
+        Ok(reading_has_ended || !self.read_before_close()?)
     }
 
     /// Reads and answers the client's startup messages, up to and including the first ReadyForQuery.
--- a/src/net/downstream/input_buffer.rs
+++ b/src/net/downstream/input_buffer.rs
@@ -10,8 +10,8 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Number of unprocessed bytes from which messages are dropped instead of read ahead: room for several messages of
-/// maximum size.
+/// Number of unprocessed bytes from which messages are dropped instead of read ahead: enough for several messages
+/// of maximum size.
 const MAX_INPUT_AHEAD: usize = 4 * pg::MAX_MESSAGE_SIZE;
 /// Minimum space reserved for one read, in bytes.
 const MIN_READ_SPACE: usize = 1024;
@@ -19,9 +19,9 @@
 /// The purpose of a read, which decides how much memory it may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ReadPurpose {
-    /// Reads the message that is processed next.
+    /// The read is for the message that is processed next.
     NextMessage,
-    /// Reads messages behind a request that has no answer yet. Such reads must leave memory for the answers.
+    /// The read is for messages behind a request that has no answer yet, so it must leave memory for the answers.
     ReadAhead,
 }
 
