--- a/crates/drain-coordination/src/action.rs
+++ b/crates/drain-coordination/src/action.rs
@@ -1,44 +1,44 @@
-//! What the caller of the coordinator is to do.
+//! Actions that the coordinator requests from its caller.
 
 use crate::command::DrainCommand;
 use crate::progress::{Completion, ReplicationProgress};
 use irisrouter_cluster_types::{GatewayId, HostId};
 
-/// What the caller is to do, in the order in which it gets them.
+/// Action for the caller to carry out. Actions are carried out in the order in which they are returned.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send this datagram to a gateway.
     Send {
-        /// The gateway.
+        /// Recipient of the datagram.
         to: GatewayId,
-        /// The datagram, of at most 256 bytes.
+        /// Encoded datagram of at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Follow this command from now on: log it, and take the host out of service or return it.
+    /// Follow this command from now on: log it, and take the host out of service or return it to service.
     Follow(DrainCommand),
-    /// Answer the operator who issued a command at this gateway.
+    /// Answer the operator who issued a command at this gateway: its replication has ended.
     Replicated {
-        /// The host of the command.
+        /// Host that the command is for.
         host: HostId,
-        /// How many gateways follow the command.
+        /// Number of gateways that follow the command, and whether they are a majority.
         progress: ReplicationProgress,
     },
     /// Log that a command is complete.
     Completed {
-        /// The command.
+        /// Command that is complete.
         command: DrainCommand,
-        /// The coordinator's finding.
+        /// Epoch of the coordinator, and the number of gateways that did not report.
         completion: Completion,
-        /// Which gateway found it.
+        /// Gateway that determined the completion.
         origin: CompletionOrigin,
     },
 }
 
-/// Which gateway found a command to be complete.
+/// Gateway that determined that a command is complete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CompletionOrigin {
     /// This gateway, as the coordinator.
     ThisGateway,
-    /// Another gateway, whose message this one received.
+    /// Another gateway, from which this gateway received a completion message.
     OtherGateway,
 }
--- a/crates/drain-coordination/src/codec.rs
+++ b/crates/drain-coordination/src/codec.rs
@@ -1,13 +1,20 @@
-//! The datagram of drain coordination: several messages in one, bounded and versioned. All numbers are big-endian.
+//! Datagram format of drain coordination. A datagram carries several messages; it is versioned and of bounded length.
+//! All numbers are big-endian.
 //!
 //! ```text
-//! 0        magic and version: 0xE1 (`irisrouter-datagram` lists those that share the peer socket)
-//! 1        count of messages, then 30 bytes each:
+//! datagram:
+//! 0        magic and version: 0xE1 (`irisrouter-datagram` lists all magic bytes on the peer socket)
+//! 1        number of messages; the messages follow
+//!
+//! message (30 bytes):
 //! 0        kind: 0 announcement, 1 report, 2 completion
-//! 1        1 where the host is to be out of service, 0 where it is to be back
-//! 2..6     host     6..14 when the command was issued (Unix milliseconds)     14..18 by which gateway
-//! 18..26   epoch of the coordinator, 0 where the sender of an announcement is none
-//! 26..30   announcement: 0; report: requests in flight at the host; completion: gateways that did not report
+//! 1        desired state of the host: 0 in service, 1 out of service
+//! 2..6     host
+//! 6..14    time at which the command was issued (Unix milliseconds)
+//! 14..18   gateway at which the command was issued
+//! 18..26   epoch of the coordinator; 0 in an announcement whose sender is not the coordinator
+//! 26..30   announcement: 0; report: number of requests in flight at the host; completion: number of gateways that
+//!          did not report
 //! ```
 
 use crate::command::{DesiredState, DrainCommand};
@@ -19,44 +26,46 @@
 pub use irisrouter_datagram::magic::DRAINS as MAGIC;
 pub use irisrouter_datagram::{WireError, MAX_DATAGRAM_BYTES};
 
-/// Messages that fit into one datagram.
+/// Maximum number of messages in one datagram.
 pub const MAX_MESSAGES: usize = max_items::<(), Message>();
-/// The epoch in an announcement whose sender does not coordinate the command.
+/// Epoch of an announcement whose sender does not coordinate the command.
 pub const NO_COORDINATOR: Epoch = Epoch(0);
 
-/// The kinds of messages.
+/// Kind of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
-    /// The command holds: follow it, and report the requests in flight at its host.
+    /// Announces a command: the recipient follows it, and reports its number of requests in flight at the host.
     Announcement,
-    /// The sender follows the command, and has this number of requests in flight at its host.
+    /// Reports that the sender follows the command, and its number of requests in flight at the host.
     Report,
-    /// The coordinator found the command to be complete.
+    /// Reports that the coordinator determined that the command is complete.
     Completion,
 }
 
-/// The kinds by their numbers in a datagram.
+/// Message kinds, indexed by their numbers in a datagram.
 const KINDS: [MessageKind; 3] = [
     MessageKind::Announcement,
     MessageKind::Report,
     MessageKind::Completion,
 ];
 
-/// One message.
+/// Message about one command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Message {
-    /// The kind.
+    /// Kind of the message.
     pub kind: MessageKind,
-    /// The command.
+    /// Command that the message is about.
     pub command: DrainCommand,
-    /// The epoch of the coordinator; [`NO_COORDINATOR`] for none.
+    /// Epoch of the coordinator; [`NO_COORDINATOR`] in an announcement whose sender is not the coordinator, and in the
+    /// reports that answer it.
     pub epoch: Epoch,
-    /// In a report the requests in flight, in a completion the gateways that did not report; else 0.
+    /// Number of requests in flight in a report, number of gateways that did not report in a completion, 0 in an
+    /// announcement.
     pub count: u32,
 }
 
 impl Message {
-    /// Announces a command under the epoch of its coordinator, or under [`NO_COORDINATOR`].
+    /// Creates an announcement of a command under the epoch of its coordinator, or under [`NO_COORDINATOR`].
     #[must_use]
     pub const fn announcement(command: DrainCommand, epoch: Epoch) -> Self {
         Self {
@@ -67,7 +76,7 @@
         }
     }
 
-    /// Answers an announcement made under `epoch`.
+    /// Creates a report that answers an announcement with this `epoch`.
     #[must_use]
     pub const fn report(command: DrainCommand, epoch: Epoch, requests_in_flight: u32) -> Self {
         Self {
@@ -78,7 +87,7 @@
         }
     }
 
-    /// Announces that a command is complete, under the epoch of the coordinator that sends this.
+    /// Creates the message that a command is complete, under the epoch of the coordinator that sends it.
     #[must_use]
     pub const fn completion(command: DrainCommand, epoch: Epoch, completion: Completion) -> Self {
         Self {
@@ -127,21 +136,21 @@
     })
 }
 
-/// The bytes of a datagram with these messages; those beyond [`MAX_MESSAGES`] are left out.
+/// Encodes these messages as a datagram. Messages beyond [`MAX_MESSAGES`] are left out.
 #[must_use]
 pub fn encode(messages: &[Message]) -> Vec<u8> {
     encode_items(MAGIC, &(), messages)
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
-/// The bytes are no datagram of this kind and version, or a field has an unknown value.
+/// The bytes are not a datagram of this kind and version, or a field has an unknown value.
 pub fn decode(datagram: &[u8]) -> Result<Vec<Message>, WireError> {
     decode_items::<(), Message>(MAGIC, datagram).map(|list| list.items)
 }
 
-/// Whether a datagram is one of drain coordination, in whatever version.
+/// Returns whether a datagram belongs to drain coordination, in any version.
 #[must_use]
 pub fn recognizes(datagram: &[u8]) -> bool {
     has_magic(datagram, MAGIC)
--- a/crates/drain-coordination/src/command.rs
+++ b/crates/drain-coordination/src/command.rs
@@ -1,11 +1,11 @@
-//! Drain commands, the order among those for one host, and their effect on a set of hosts.
+//! Drain commands, the precedence among commands for one host, and the effect of commands on a group of hosts.
 
 use irisrouter_cluster_types::{GatewayId, HostId, UnixMilliseconds};
 use std::collections::BTreeSet;
 
-/// Whether a host is to serve requests.
+/// State that a command requests for a host.
 ///
-/// The order of the variants decides between two commands of the same time and gateway: `Drained` wins.
+/// The order of the variants matters: of two commands with the same time and gateway, the one for `Drained` wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DesiredState {
     /// The host is to be back in service.
@@ -17,19 +17,21 @@
 /// An operator's command for one host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DrainCommand {
-    /// The host.
+    /// Host that the command is for.
     pub host: HostId,
-    /// Whether the host is to serve requests.
+    /// State that the command requests for the host.
     pub desired_state: DesiredState,
-    /// When the command was issued: later than every command for this host that its gateway knew.
+    /// Time of issue by the clock of the issuing gateway, but at least 1 ms after every command for this host that the
+    /// gateway knew.
     pub issued_at: UnixMilliseconds,
-    /// The gateway at which it was issued.
+    /// Gateway at which the command was issued.
     pub issued_by: GatewayId,
 }
 
-/// What orders the commands for one host: the greater one wins.
+/// Precedence of a command among all commands for its host: the command with the greatest precedence wins.
 ///
-/// The later command wins; of two commands of the same millisecond, the one of the gateway with the higher number.
+/// The later command has the greater precedence; of two commands issued in the same millisecond, the one whose gateway
+/// has the higher id. The order of the fields implements this.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Precedence {
     /// See [`DrainCommand::issued_at`].
@@ -41,7 +43,7 @@
 }
 
 impl DrainCommand {
-    /// The place of this command among all commands for its host.
+    /// Returns the precedence of this command among all commands for its host.
     #[must_use]
     pub const fn precedence(&self) -> Precedence {
         Precedence {
@@ -51,18 +53,19 @@
         }
     }
 
-    /// Whether the host is to be out of service.
+    /// Returns whether the command takes its host out of service.
     #[must_use]
     pub const fn drains(&self) -> bool {
         matches!(self.desired_state, DesiredState::Drained)
     }
 }
 
-/// The hosts of one set that commands take out of service.
+/// Returns the hosts of one group that commands take out of service.
 ///
-/// `hosts_in_service` are the hosts of the set that the endpoint list has in service, and `command_for` returns the command
-/// that holds for a host. Commands never empty a set: two operators may each drain one of a set's two hosts at the same
-/// moment, and then the host of the latest command stays in service, at every gateway the same one.
+/// `hosts_in_service` are the group's hosts that are in service according to the endpoint list, and `command_for`
+/// returns the current command for a host. Commands never drain all hosts of a group: if two operators drain the two
+/// hosts of a group at the same time, the host of the command with the greatest precedence stays in service. All
+/// gateways choose the same host, because precedence is the same everywhere.
 #[must_use]
 pub fn hosts_to_drain(
     hosts_in_service: &[HostId],
--- a/crates/drain-coordination/src/command_log.rs
+++ b/crates/drain-coordination/src/command_log.rs
@@ -1,4 +1,4 @@
-//! The commands that a gateway knows, one for each host, with how far each is.
+//! Log of the commands that a gateway knows: the current command for each host, and its progress.
 
 use crate::codec::NO_COORDINATOR;
 use crate::command::DrainCommand;
@@ -9,48 +9,50 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Hosts for which commands are remembered: datagrams that name ever new hosts must not fill the memory.
+/// Maximum number of hosts with a command. The limit bounds the memory in use when datagrams name ever new hosts.
 const MAX_COMMANDS: usize = 256;
 
-/// Why a command is not taken.
+/// Error returned if the log cannot store a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CommandLogError {
-    /// Commands for so many other hosts are not complete yet.
+    /// The log is full of commands for other hosts, none of which may be evicted.
     #[error("{limit} hosts are spoken of already")]
     Full {
-        /// Hosts for which commands are remembered at most.
+        /// Maximum number of hosts with a command.
         limit: usize,
     },
 }
 
-/// The command that holds for one host, and how far it is.
+/// Current command for one host, and its progress.
 pub(crate) struct CommandState {
     pub(crate) command: DrainCommand,
-    /// The latest epoch of a coordinator that this gateway saw, or under which it coordinates itself.
+    /// Latest epoch of a coordinator that sent a message, or under which this gateway has coordinated the host's drain.
     pub(crate) latest_epoch: Epoch,
-    /// When a coordinator last sent a message or this gateway was it; before that, when the command became known.
+    /// Time at which a coordinator last sent a message, or this gateway last coordinated the command. It starts at the
+    /// time at which the command became known, and restarts when the command is announced to the lease candidates.
     pub(crate) coordinator_seen_at: Timestamp,
     pub(crate) completion: Option<Completion>,
-    /// Present while the operator who issued the command here waits for an answer.
+    /// `Some` while an operator who issued the command at this gateway waits for an answer.
     pub(crate) replication: Option<Replication>,
-    /// Present while this gateway coordinates the command.
+    /// `Some` while this gateway coordinates the command.
     pub(crate) coordination: Option<Coordination>,
 }
 
 impl CommandState {
-    /// Whether a coordinator is needed: for every host that is to be out of service, and until the return of a host has
-    /// reached all gateways.
+    /// Returns whether the command needs a coordinator: always if it drains the host, because gateways that restart
+    /// have to receive it; until it is complete if it returns the host to service.
     pub(crate) fn needs_coordinator(&self) -> bool {
         self.command.drains() || self.completion.is_none()
     }
 
-    /// Remembers the epoch of a coordinator from which a message came, or under which this gateway coordinates.
+    /// Records the epoch of a coordinator: of one that sent a message, or of this gateway if it coordinates the
+    /// command.
     pub(crate) fn record_coordinator(&mut self, now: Timestamp, epoch: Epoch) {
         self.latest_epoch = epoch;
         self.coordinator_seen_at = now;
     }
 
-    /// How far the command is, as this gateway knows.
+    /// Returns the progress of the command as known to this gateway.
     pub(crate) fn progress(&self, fleet: &Fleet) -> Progress {
         match (self.completion, &self.coordination) {
             (Some(completion), _) => Progress::Completed(completion),
@@ -63,53 +65,53 @@
     }
 }
 
-/// The commands that hold, by host.
+/// Current command for each host, by host.
 #[derive(Default)]
 pub(crate) struct CommandLog {
     by_host: BTreeMap<HostId, CommandState>,
 }
 
 impl CommandLog {
-    /// Whether no command is known.
+    /// Returns whether the log contains no command.
     pub(crate) fn is_empty(&self) -> bool {
         self.by_host.is_empty()
     }
 
-    /// The hosts in ascending order.
+    /// Returns the hosts that have a command, in ascending order.
     pub(crate) fn hosts(&self) -> impl Iterator<Item = HostId> + '_ {
         self.by_host.keys().copied()
     }
 
-    /// The commands in ascending order of their hosts.
+    /// Returns the current commands and their progress, in ascending order of their hosts.
     pub(crate) fn states(&self) -> impl Iterator<Item = &CommandState> {
         self.by_host.values()
     }
 
-    /// The command that holds for a host.
+    /// Returns the current command for a host.
     pub(crate) fn command(&self, host: HostId) -> Option<DrainCommand> {
         self.by_host.get(&host).map(|state| state.command)
     }
 
-    /// The command that holds for a host and how far it is.
+    /// Returns the state of the current command for a host.
     pub(crate) fn state(&self, host: HostId) -> Option<&CommandState> {
         self.by_host.get(&host)
     }
 
-    /// The command that holds for a host and how far it is, to be changed.
+    /// Returns a mutable reference to the state of the current command for a host.
     pub(crate) fn state_mut(&mut self, host: HostId) -> Option<&mut CommandState> {
         self.by_host.get_mut(&host)
     }
 
-    /// The state of exactly this command; none where another command holds for its host.
+    /// Returns the state of exactly this command; `None` if it is not the current command for its host.
     pub(crate) fn state_of(&mut self, command: DrainCommand) -> Option<&mut CommandState> {
         self.by_host
             .get_mut(&command.host)
             .filter(|state| state.command == command)
     }
 
-    /// Makes this command the one that holds for its host.
+    /// Makes this command the current one for its host.
     pub(crate) fn insert(&mut self, now: Timestamp, command: DrainCommand) {
-        // The leases of a host's drain, and so their epochs, go on from one command to the next.
+        // All commands for a host share one leased task, so the latest epoch is carried over to the new command.
         let latest_epoch = self
             .by_host
             .get(&command.host)
@@ -125,11 +127,12 @@
         self.by_host.insert(command.host, state);
     }
 
-    /// Makes room for a command for this host: the oldest command that returned a host and is complete is forgotten.
+    /// Ensures that a command for this host can be inserted. If the log is full and has no command for the host, evicts
+    /// the oldest completed command that returned a host to service.
     ///
     /// # Errors
-    /// No command may be forgotten.
-    pub(crate) fn make_room(&mut self, host: HostId) -> Result<(), CommandLogError> {
+    /// [`CommandLogError::Full`] if no command may be evicted.
+    pub(crate) fn ensure_capacity(&mut self, host: HostId) -> Result<(), CommandLogError> {
         if self.by_host.contains_key(&host) || self.by_host.len() < MAX_COMMANDS {
             return Ok(());
         }
--- a/crates/drain-coordination/src/coordinator.rs
+++ b/crates/drain-coordination/src/coordinator.rs
@@ -1,7 +1,7 @@
-//! The drains of one gateway: its public interface, and the parts that it plays for each command.
+//! Public interface of drain coordination at one gateway, and the roles of the gateway for each command.
 //!
-//! A gateway replicates the commands that were issued at it ([`replication`]), follows all commands that it knows
-//! ([`follower`]), and coordinates those whose leases it holds ([`coordination`]).
+//! A gateway replicates the commands that operators issue at it ([`replication`]), follows all commands that it knows
+//! ([`follower`]), and coordinates the commands whose leases it holds ([`coordination`]).
 
 mod coordination;
 mod follower;
@@ -22,15 +22,16 @@
     Epoch, GatewayId, GatewayProcess, HostId, Milliseconds, Timestamp, UnixMilliseconds,
 };
 
-/// What the coordinator asks its caller about this gateway, in each step anew.
+/// Current state of this gateway, supplied by the caller. The coordinator queries it anew in each step.
 pub trait LocalState {
-    /// The fencing token under which this gateway may coordinate a host's drain now; none without the lease.
+    /// Returns the fencing token under which this gateway may coordinate the drains of a host; `None` if it does not
+    /// hold the lease.
     fn fencing_token(&self, host: HostId) -> Option<Epoch>;
-    /// Requests that this gateway has in flight at a host.
+    /// Returns the number of requests that this gateway has in flight at a host.
     fn requests_in_flight(&self, host: HostId) -> u32;
 }
 
-/// All drain commands, as one gateway knows them.
+/// Drain coordination at one gateway: all drain commands known to it, and its part in replicating and completing them.
 pub struct DrainCoordinator {
     settings: Settings,
     fleet: Fleet,
@@ -40,7 +41,7 @@
 }
 
 impl DrainCoordinator {
-    /// A gateway that knows of no command yet.
+    /// Creates the coordinator of a gateway that knows no command yet.
     #[must_use]
     pub fn new(local_gateway: GatewayId, settings: Settings) -> Self {
         Self {
@@ -52,16 +53,17 @@
         }
     }
 
-    /// Takes the view of membership: the processes of the gateways that are not held to be down.
+    /// Updates the view of the fleet to these processes: those of the gateways that membership does not report as down.
     pub fn update_fleet(&mut self, processes: impl IntoIterator<Item = GatewayProcess>) {
         self.fleet.replace(processes);
     }
 
-    /// An operator issues a command at this gateway. It holds here at once; [`Action::Replicated`] follows once a quorum
-    /// follows it, or after [`Settings::replication_timeout`].
+    /// Issues an operator's command at this gateway. The command takes effect at this gateway immediately.
+    /// [`Action::Replicated`] is returned later, once a quorum follows the command or
+    /// [`Settings::replication_timeout`] has elapsed.
     ///
     /// # Errors
-    /// Commands for too many other hosts are not complete yet.
+    /// [`CommandLogError::Full`] if too many commands for other hosts are not complete yet.
     pub fn issue(
         &mut self,
         now: Timestamp,
@@ -69,8 +71,8 @@
         host: HostId,
         desired_state: DesiredState,
     ) -> Result<(), CommandLogError> {
-        self.commands.make_room(host)?;
-        // The clocks of gateways differ: this command is to win over the one that this gateway knows in any case.
+        self.commands.ensure_capacity(host)?;
+        // The clocks of gateways differ, but the new command has to win over the one that this gateway knows.
         let issued_at = match self.commands.command(host) {
             Some(earlier) => wall_clock.max(earlier.issued_at + Milliseconds(1)),
             None => wall_clock,
@@ -86,8 +88,8 @@
         Ok(())
     }
 
-    /// The hosts whose drains need a coordinator: those that are to be out of service, and those whose return has not
-    /// reached all gateways.
+    /// Returns the hosts whose commands need a coordinator: those that are to be out of service, and those whose return
+    /// to service is not complete.
     #[must_use]
     pub fn drains_to_coordinate(&self) -> Vec<HostId> {
         self.commands
@@ -97,7 +99,7 @@
             .collect()
     }
 
-    /// All commands that hold, in ascending order of their hosts, with how far each is.
+    /// Returns the current command for each host, and its progress, in ascending order of the hosts.
     pub fn commands(&self) -> impl Iterator<Item = CommandStatus> + '_ {
         self.commands.states().map(|state| CommandStatus {
             command: state.command,
@@ -105,10 +107,10 @@
         })
     }
 
-    /// Takes a datagram from gateway `from`.
+    /// Processes a datagram received from gateway `from`.
     ///
     /// # Errors
-    /// The datagram can't be read; nothing is changed then.
+    /// The datagram is malformed. The state is unchanged in this case.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -127,7 +129,7 @@
         Ok(())
     }
 
-    /// Does what is due by `now`.
+    /// Processes the time-outs, announcement rounds and lease changes that are due at `now`.
     pub fn advance(&mut self, now: Timestamp, local: &impl LocalState) {
         let hosts: Vec<HostId> = self.commands.hosts().collect();
         for host in hosts {
@@ -138,7 +140,7 @@
         self.flush();
     }
 
-    /// When [`DrainCoordinator::advance`] next has work; it may be called earlier.
+    /// Returns the time by which [`DrainCoordinator::advance`] has to be called next. It may be called earlier.
     #[must_use]
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         if self.commands.is_empty() {
@@ -147,12 +149,12 @@
         now + self.settings.round_interval / 2
     }
 
-    /// Removes and returns what the caller is to do, in order.
+    /// Removes and returns the pending actions, in the order in which the caller has to carry them out.
     pub fn take_actions(&mut self) -> std::vec::Drain<'_, Action> {
         self.actions.drain(..)
     }
 
-    /// Packs the messages of this step into datagrams.
+    /// Packs the messages of this step into datagrams, and adds the actions that send them.
     fn flush(&mut self) {
         self.actions.extend(self.outgoing.take_datagrams());
     }
--- a/crates/drain-coordination/src/coordinator/coordination.rs
+++ b/crates/drain-coordination/src/coordinator/coordination.rs
@@ -1,4 +1,5 @@
-//! The coordinator's part: the holder of a drain's lease asks all gateways for their requests in flight until none is left.
+//! Role of the coordinator: the holder of a drain's lease asks all gateways for their number of requests in flight at
+//! the host until none has any.
 
 use super::{DrainCoordinator, LocalState};
 use crate::action::{Action, CompletionOrigin};
@@ -14,32 +15,34 @@
 use irisrouter_leases::rendezvous;
 use std::collections::BTreeMap;
 
-/// Gateways that claim the lease of a drain, as in `irisrouter-leases`: the others need not know of it.
+/// Number of gateways that are candidates for a lease; the same as in `irisrouter-leases`. Only the candidates claim
+/// the lease of a drain.
 const LEASE_CANDIDATES: usize = 3;
-/// Refresh intervals without a message of a coordinator after which a command is announced to the candidates again.
+/// Number of refresh intervals without a message from a coordinator after which a command is announced to the lease
+/// candidates.
 const REFRESHES_WITHOUT_COORDINATOR: u64 = 4;
 
-/// What one process of a gateway reported.
+/// Latest report from one gateway, with the generation of the process that sent it.
 struct Report {
     generation: Generation,
     requests_in_flight: u32,
 }
 
-/// Which gateways a round of announcements goes to.
+/// Recipients of the announcements that are due.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Recipients {
     None,
-    /// Those that have not reported "no requests in flight".
+    /// Gateways that have not reported zero requests in flight.
     Pending,
     All,
 }
 
-/// What the coordinator of a command knows under its epoch.
+/// State of the coordinator of a command under one epoch.
 pub(crate) struct Coordination {
     epoch: Epoch,
     next_round_at: Timestamp,
     next_refresh_at: Timestamp,
-    /// The latest report of each gateway.
+    /// Latest report from each gateway.
     reports: BTreeMap<GatewayId, Report>,
 }
 
@@ -53,14 +56,14 @@
         }
     }
 
-    /// Requests in flight at the host, by all reports.
+    /// Returns the sum of the requests in flight at the host over all reports.
     pub(crate) fn requests_in_flight(&self) -> u32 {
         self.reports.values().fold(0, |sum: u32, report| {
             sum.saturating_add(report.requests_in_flight)
         })
     }
 
-    /// Gateways that have yet to report.
+    /// Returns the number of gateways that have not reported yet.
     pub(crate) fn unacknowledged(&self, fleet: &Fleet) -> usize {
         fleet
             .processes()
@@ -68,25 +71,26 @@
             .count()
     }
 
-    /// The report of this process of a gateway; a report of an earlier process does not count.
+    /// Returns the report from this process of a gateway; `None` if only an earlier process of the gateway has
+    /// reported.
     fn report_of(&self, process: GatewayProcess) -> Option<&Report> {
         self.reports
             .get(&process.gateway)
             .filter(|report| report.generation == process.generation)
     }
 
-    /// Whether this process reported that it has no requests in flight.
+    /// Returns whether this process has reported zero requests in flight.
     fn is_idle(&self, process: GatewayProcess) -> bool {
         self.report_of(process)
             .is_some_and(|report| report.requests_in_flight == 0)
     }
 
-    /// Forgets the reports of gateways that are held to be down by now.
-    fn forget_down_gateways(&mut self, fleet: &Fleet) {
+    /// Removes the reports from gateways that membership now reports as down.
+    fn remove_down_gateways(&mut self, fleet: &Fleet) {
         self.reports.retain(|&gateway, _| fleet.contains(gateway));
     }
 
-    /// Gateways that have not reported "no requests in flight", in ascending order.
+    /// Returns the gateways that have not reported zero requests in flight, in ascending order.
     fn pending_gateways(&self, fleet: &Fleet) -> Vec<GatewayId> {
         fleet
             .processes()
@@ -95,23 +99,23 @@
             .collect()
     }
 
-    /// Whether no gateway has requests in flight. A majority of the fleet has to have reported: a coordinator that a network
-    /// partition left alone must not speak for all.
+    /// Returns whether no gateway has requests in flight. A majority of the fleet has to have reported, so that a
+    /// coordinator in the smaller part of a partitioned network cannot complete a command without the other gateways.
     fn is_complete(&self, fleet: &Fleet, quorum: usize) -> bool {
         self.reports.len() >= quorum && self.pending_gateways(fleet).is_empty()
     }
 
-    /// Which gateways are to get an announcement now; sets the times of the next round and the next refresh.
+    /// Returns which gateways are due an announcement, and schedules the next round and the next refresh.
     fn next_recipients(&mut self, now: Timestamp, settings: &Settings) -> Recipients {
-        let refresh = now >= self.next_refresh_at;
-        let round = now >= self.next_round_at;
-        if refresh {
+        let refresh_due = now >= self.next_refresh_at;
+        let round_due = now >= self.next_round_at;
+        if refresh_due {
             self.next_refresh_at = now + settings.refresh_interval;
         }
-        if round {
+        if round_due {
             self.next_round_at = now + settings.round_interval;
         }
-        match (refresh, round) {
+        match (refresh_due, round_due) {
             (true, _) => Recipients::All,
             (false, true) => Recipients::Pending,
             (false, false) => Recipients::None,
@@ -120,7 +124,7 @@
 }
 
 impl DrainCoordinator {
-    /// A gateway follows a command and reports how many requests it has in flight.
+    /// Processes a report: its sender follows a command, and reports its number of requests in flight.
     pub(super) fn receive_report(
         &mut self,
         now: Timestamp,
@@ -152,13 +156,13 @@
         self.replicate(now, message.command.host);
     }
 
-    /// Coordinates a host's command, where this gateway holds the lease.
+    /// Coordinates a host's command if this gateway holds the lease.
     pub(super) fn coordinate(&mut self, now: Timestamp, host: HostId, local: &impl LocalState) {
         let Some(state) = self.commands.state_mut(host) else {
             return;
         };
-        // Checked in every step: a coordinator that was stalled, and lost its lease meanwhile, must not complete a drain
-        // by reports of another time.
+        // The lease is checked in every step, because a coordinator that was paused, and lost its lease during the
+        // pause, must not complete a drain on the basis of reports from before the pause.
         let token = local.fencing_token(host);
         let Some(epoch) = token.filter(|&token| token >= state.latest_epoch) else {
             state.coordination = None;
@@ -170,8 +174,8 @@
             .take()
             .filter(|coordination| coordination.epoch == epoch)
             .unwrap_or(Coordination::new(epoch, now));
-        self.report_locally(&mut coordination, local.requests_in_flight(host));
-        coordination.forget_down_gateways(&self.fleet);
+        self.record_local_report(&mut coordination, local.requests_in_flight(host));
+        coordination.remove_down_gateways(&self.fleet);
         self.complete(now, host, &mut coordination);
         self.announce(now, host, &mut coordination);
         if let Some(state) = self.commands.state_mut(host) {
@@ -179,8 +183,8 @@
         }
     }
 
-    /// Records the coordinator's own requests in flight, as other gateways report theirs.
-    fn report_locally(&self, coordination: &mut Coordination, requests_in_flight: u32) {
+    /// Records the coordinator's own number of requests in flight in the same way as a report from another gateway.
+    fn record_local_report(&self, coordination: &mut Coordination, requests_in_flight: u32) {
         let report = Report {
             generation: self.fleet.local_generation(),
             requests_in_flight,
@@ -190,16 +194,17 @@
             .insert(self.fleet.local_gateway(), report);
     }
 
-    /// Completes a host's command, where no gateway has requests in flight and that has not been found under this epoch.
+    /// Records the completion of a host's command if no gateway has requests in flight and no completion is known under
+    /// this epoch or a later one.
     fn complete(&mut self, now: Timestamp, host: HostId, coordination: &mut Coordination) {
         let Some(state) = self.commands.state_mut(host) else {
             return;
         };
         let epoch = coordination.epoch;
-        let found_before = state
+        let is_recorded = state
             .completion
             .is_some_and(|completion| completion.epoch >= epoch);
-        if found_before || !coordination.is_complete(&self.fleet, self.settings.quorum()) {
+        if is_recorded || !coordination.is_complete(&self.fleet, self.settings.quorum()) {
             return;
         }
         let gateways_up = self.fleet.len() as u32;
@@ -207,7 +212,7 @@
             epoch,
             unacknowledged: self.settings.fleet_size.saturating_sub(gateways_up),
         };
-        // Where an earlier coordinator has found it, the same completion is not logged again.
+        // A command that an earlier coordinator completed is not logged as completed again.
         if state.completion.replace(completion).is_none() {
             self.actions.push(Action::Completed {
                 command: state.command,
@@ -215,11 +220,12 @@
                 origin: CompletionOrigin::ThisGateway,
             });
         }
-        // All gateways are to learn of it in this step.
+        // Sends the completion to all gateways in this step, because a completion is sent with a refresh only.
         coordination.next_refresh_at = now;
     }
 
-    /// Sends the announcements that are due for a host's command, and its completion where it is complete.
+    /// Sends the announcements that are due for a host's command. A refresh includes the completion if the command is
+    /// complete.
     fn announce(&mut self, now: Timestamp, host: HostId, coordination: &mut Coordination) {
         let Some(state) = self.commands.state(host) else {
             return;
@@ -256,14 +262,15 @@
         }
     }
 
-    /// Announces a command to the gateways that are to claim its lease, where no coordinator has sent a message for long.
-    /// If all of them have started again since the command was issued, none of them knows that there is a lease to claim.
+    /// Announces a command to the candidates for its lease if no coordinator has sent a message for
+    /// [`REFRESHES_WITHOUT_COORDINATOR`] refresh intervals. If all candidates have restarted since the command was
+    /// issued, they do not know the command, and without the announcement none of them would claim the lease.
     pub(super) fn announce_to_candidates(&mut self, now: Timestamp, host: HostId) {
-        let longest_silence = self.settings.refresh_interval * REFRESHES_WITHOUT_COORDINATOR;
+        let max_silence = self.settings.refresh_interval * REFRESHES_WITHOUT_COORDINATOR;
         let Some(state) = self.commands.state_mut(host) else {
             return;
         };
-        if now < state.coordinator_seen_at + longest_silence || !state.needs_coordinator() {
+        if now < state.coordinator_seen_at + max_silence || !state.needs_coordinator() {
             return;
         }
         state.coordinator_seen_at = now;
@@ -274,7 +281,7 @@
     }
 }
 
-/// The gateways that are to claim the lease on a task, the first one first.
+/// Returns the candidates for the lease on a task, in descending order of preference.
 fn lease_candidates(task: TaskId, fleet: &Fleet) -> impl Iterator<Item = GatewayId> {
     let gateways: Vec<GatewayId> = fleet.gateways().collect();
     rendezvous::candidates(task, &gateways)
--- a/crates/drain-coordination/src/coordinator/follower.rs
+++ b/crates/drain-coordination/src/coordinator/follower.rs
@@ -1,4 +1,5 @@
-//! The follower's part: a gateway follows every command that it knows, and reports its requests in flight.
+//! Role of the follower: a gateway follows every command that it knows, and reports its number of requests in flight to
+//! the gateways that announce a command.
 
 use super::{DrainCoordinator, LocalState};
 use crate::action::{Action, CompletionOrigin};
@@ -9,13 +10,14 @@
 use std::cmp::Ordering;
 
 impl DrainCoordinator {
-    /// From now on this command holds, in place of any earlier one for its host.
+    /// Makes this command the current one for its host, in place of any earlier one.
     pub(super) fn follow(&mut self, now: Timestamp, command: DrainCommand) {
         self.commands.insert(now, command);
         self.actions.push(Action::Follow(command));
     }
 
-    /// Another gateway announced a command: follows it if it is news, and reports the requests in flight at its host.
+    /// Processes another gateway's announcement of a command: follows the command if it is new, and reports the number
+    /// of requests in flight at its host.
     pub(super) fn receive_announcement(
         &mut self,
         now: Timestamp,
@@ -41,12 +43,14 @@
         self.outgoing.push(from, report);
     }
 
-    /// Follows an announced command unless a later one is known; returns whether it is the one that holds now.
+    /// Follows an announced command unless a later command for its host is known. Returns whether the announced command
+    /// is the current one afterwards.
     fn follow_latest(&mut self, now: Timestamp, from: GatewayId, command: DrainCommand) -> bool {
         if let Some(known) = self.commands.command(command.host) {
             match known.precedence().cmp(&command.precedence()) {
                 Ordering::Greater => {
-                    // The sender is behind: it gets the later command, as from a gateway that coordinates nothing.
+                    // The sender knows only an older command: the reply announces the later one to it. The reply
+                    // carries no epoch, because this gateway need not be the coordinator.
                     let later = Message::announcement(known, NO_COORDINATOR);
                     self.outgoing.push(from, later);
                     return false;
@@ -55,14 +59,14 @@
                 Ordering::Less => {}
             }
         }
-        if self.commands.make_room(command.host).is_err() {
+        if self.commands.ensure_capacity(command.host).is_err() {
             return false;
         }
         self.follow(now, command);
         true
     }
 
-    /// A coordinator found a command to be complete.
+    /// Processes a coordinator's message that a command is complete.
     pub(super) fn receive_completion(&mut self, now: Timestamp, message: Message) {
         let Message {
             command,
--- a/crates/drain-coordination/src/coordinator/replication.rs
+++ b/crates/drain-coordination/src/coordinator/replication.rs
@@ -1,4 +1,5 @@
-//! Replication of a command that was issued at this gateway, until a quorum follows it and its operator has an answer.
+//! Replication of a command that was issued at this gateway: the gateway announces the command until a quorum follows
+//! it or the replication timeout has elapsed, and then answers the operator.
 
 use super::DrainCoordinator;
 use crate::action::Action;
@@ -7,24 +8,24 @@
 use irisrouter_cluster_types::{GatewayId, HostId, Timestamp};
 use std::collections::BTreeSet;
 
-/// The state of a command's replication.
+/// State of the replication of one command.
 pub(crate) struct Replication {
-    /// When the operator gets the answer that no quorum follows.
+    /// Time at which the operator gets the answer that no quorum follows the command.
     deadline: Timestamp,
     next_round_at: Timestamp,
-    /// Gateways that follow the command, this one included.
+    /// Gateways that follow the command, including this one.
     followers: BTreeSet<GatewayId>,
 }
 
 impl Replication {
-    /// Remembers that a gateway follows the command.
+    /// Records that a gateway follows the command.
     pub(super) fn record_follower(&mut self, gateway: GatewayId) {
         self.followers.insert(gateway);
     }
 }
 
 impl DrainCoordinator {
-    /// Announces the command that holds for this host to the fleet from now on.
+    /// Starts the replication of the current command for this host.
     pub(super) fn start_replication(&mut self, now: Timestamp, host: HostId) {
         let followers = BTreeSet::from([self.fleet.local_gateway()]);
         if let Some(state) = self.commands.state_mut(host) {
@@ -36,8 +37,8 @@
         }
     }
 
-    /// Ends the replication of a host's command where a quorum follows it or its time is over; else announces it to the
-    /// gateways that do not follow it yet, once a round.
+    /// Ends the replication of a host's command if a quorum follows the command or the replication timeout has elapsed.
+    /// Otherwise announces the command, once per round, to the gateways that do not follow it yet.
     pub(super) fn replicate(&mut self, now: Timestamp, host: HostId) {
         let quorum = self.settings.quorum();
         let Some(state) = self.commands.state_mut(host) else {
--- a/crates/drain-coordination/src/fleet.rs
+++ b/crates/drain-coordination/src/fleet.rs
@@ -1,19 +1,20 @@
-//! The gateways that membership does not hold to be down.
+//! View of the fleet: the gateways that membership does not report as down.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Generation};
 use std::collections::BTreeMap;
 
-/// The generation of a process for which membership has given none yet.
+/// Generation of this process until membership reports one.
 const FIRST_GENERATION: Generation = Generation(0);
 
-/// The gateways that are not held to be down, this one always included, with the generations of their processes.
+/// Gateways that membership does not report as down, with the generations of their processes. The local gateway is
+/// always included.
 pub(crate) struct Fleet {
     local_gateway: GatewayId,
     generations: BTreeMap<GatewayId, Generation>,
 }
 
 impl Fleet {
-    /// A fleet in which this gateway is alone.
+    /// Creates a fleet that consists of the local gateway only.
     pub(crate) fn new(local_gateway: GatewayId) -> Self {
         Self {
             local_gateway,
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Replaces the view by these processes.
+    /// Replaces the view with these processes, and adds the local gateway if it is missing.
     pub(crate) fn replace(&mut self, processes: impl IntoIterator<Item = GatewayProcess>) {
         self.generations = processes
             .into_iter()
@@ -32,38 +33,38 @@
             .or_insert(FIRST_GENERATION);
     }
 
-    /// Gateways that are not held to be down.
+    /// Returns the number of gateways that are not reported as down.
     pub(crate) fn len(&self) -> usize {
         self.generations.len()
     }
 
-    /// Whether a gateway is not held to be down.
+    /// Returns whether the fleet contains a gateway, that is, the gateway is not reported as down.
     pub(crate) fn contains(&self, gateway: GatewayId) -> bool {
         self.generations.contains_key(&gateway)
     }
 
-    /// The generation of a gateway's process; none where it is held to be down.
+    /// Returns the generation of a gateway's process; `None` if the gateway is reported as down.
     pub(crate) fn generation(&self, gateway: GatewayId) -> Option<Generation> {
         self.generations.get(&gateway).copied()
     }
 
-    /// This gateway.
+    /// Returns the id of the local gateway.
     pub(crate) const fn local_gateway(&self) -> GatewayId {
         self.local_gateway
     }
 
-    /// The generation of this process.
+    /// Returns the generation of the local gateway's process.
     pub(crate) fn local_generation(&self) -> Generation {
         self.generation(self.local_gateway)
             .unwrap_or(FIRST_GENERATION)
     }
 
-    /// The gateways in ascending order.
+    /// Returns the gateways in ascending order of their ids.
     pub(crate) fn gateways(&self) -> impl Iterator<Item = GatewayId> + '_ {
         self.generations.keys().copied()
     }
 
-    /// The processes in ascending order of their gateways.
+    /// Returns the processes in ascending order of their gateways' ids.
     pub(crate) fn processes(&self) -> impl Iterator<Item = GatewayProcess> + '_ {
         self.generations
             .iter()
--- a/crates/drain-coordination/src/lib.rs
+++ b/crates/drain-coordination/src/lib.rs
@@ -1,16 +1,18 @@
-//! Drain coordination: an operator's command takes a database host out of service, or returns it, at every gateway.
+//! Drain coordination: an operator's command takes a database host out of service, or returns it to service, at every
+//! gateway.
 //!
-//! A [`DrainCommand`] says that a host is to be drained or to be back in service. The gateway at which an operator issued
-//! it announces it to all others until a quorum of the fleet follows it; from then on every majority of gateways contains
-//! one that knows it. A gateway follows each command as soon as it knows it.
+//! A [`DrainCommand`] requests that a host be drained or returned to service. The gateway at which an operator issues
+//! the command announces it to all other gateways until a quorum of the fleet follows it; from then on every majority
+//! of gateways contains one that knows the command. A gateway follows each command as soon as it receives it.
 //!
 //! Completing a command is a leased task (`irisrouter-leases`, [`task_id`]). The lease holder is the coordinator of the
-//! command: it asks every gateway that membership does not hold to be down how many requests it has in flight at the host,
-//! and declares the command complete once all of them have reported none under its epoch. When a coordinator dies, the
-//! next lease holder asks all gateways again under its own epoch, and messages with an older epoch are ignored.
+//! command: it asks every gateway that membership does not report as down for its number of requests in flight at the
+//! host, and declares the command complete once each of them has reported zero under the coordinator's epoch. When a
+//! coordinator fails, the next lease holder asks all gateways again under its own epoch, and messages with an older
+//! epoch are ignored.
 //!
-//! Of two commands for one host the later one wins, whichever gateway announces it, so that a gateway that was cut off
-//! cannot bring an old drain back.
+//! Of two commands for one host the later one wins, whichever gateway announces it, so that a gateway that rejoins
+//! after a network partition cannot reinstate an old drain.
 //!
 //! The package does no I/O, reads no clock and starts no task: the caller passes datagrams and the time to
 //! [`DrainCoordinator`] and carries out the [`Action`]s that it returns.
@@ -37,11 +39,11 @@
 
 use irisrouter_cluster_types::{HostId, TaskId};
 
-/// The high half of the task id of every drain ("DRAI" in ASCII). It is above the number of any database set that a platform
-/// assigns.
+/// Upper 32 bits of the task id of every drain ("DRAI" in ASCII). They place these ids above the number of any database
+/// group, which a platform assigns, so that the two kinds of task ids never collide.
 const TASK_ID_BASE: u64 = 0x4452_4149_0000_0000;
 
-/// The task under which a host's drain is leased to its coordinator.
+/// Returns the id of the leased task whose lease holder coordinates the drains of this host.
 #[must_use]
 pub const fn task_id(host: HostId) -> TaskId {
     TaskId(TASK_ID_BASE | host.0 as u64)
--- a/crates/drain-coordination/src/outgoing.rs
+++ b/crates/drain-coordination/src/outgoing.rs
@@ -1,18 +1,18 @@
-//! Messages on their way to other gateways, packed into as few datagrams as possible.
+//! Queue of messages to other gateways, which are packed into as few datagrams as possible.
 
 use crate::action::Action;
 use crate::codec::{self, Message};
 use irisrouter_cluster_types::GatewayId;
 use std::collections::BTreeMap;
 
-/// The messages that one step of the coordinator wants to send.
+/// Messages to be sent at the end of one step of the coordinator, by recipient.
 pub(crate) struct OutgoingMessages {
     local_gateway: GatewayId,
     by_recipient: BTreeMap<GatewayId, Vec<Message>>,
 }
 
 impl OutgoingMessages {
-    /// No messages yet.
+    /// Creates an empty queue.
     pub(crate) const fn new(local_gateway: GatewayId) -> Self {
         Self {
             local_gateway,
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Adds a message for a gateway; nothing is sent to this gateway itself.
+    /// Adds a message to another gateway. A message to the local gateway is discarded.
     pub(crate) fn push(&mut self, recipient: GatewayId, message: Message) {
         if recipient != self.local_gateway {
             self.by_recipient
--- a/crates/drain-coordination/src/progress.rs
+++ b/crates/drain-coordination/src/progress.rs
@@ -1,47 +1,48 @@
-//! How far commands are: their replication to the fleet, and their completion.
+//! Progress of commands: their replication to the fleet, and their completion.
 
 use crate::command::DrainCommand;
 use irisrouter_cluster_types::Epoch;
 
-/// How far a new command has been replicated.
+/// Progress of the replication of a new command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReplicationProgress {
-    /// Gateways that follow the command, the one at which it was issued included.
+    /// Number of gateways that follow the command, including the one at which it was issued.
     pub followers: usize,
-    /// Whether these are a majority of the fleet's list.
+    /// Whether the followers are a majority of the fleet's list.
     pub majority: bool,
 }
 
-/// The finding of a coordinator that no gateway has requests in flight at a host.
+/// Completion of a command: its coordinator determined that no gateway has requests in flight at the host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Completion {
-    /// The epoch of the coordinator's lease.
+    /// Epoch of the coordinator's lease.
     pub epoch: Epoch,
-    /// Gateways that membership held to be down, and that therefore did not report: they may still send to the host.
+    /// Number of gateways that did not report because they were down according to membership. They may still send
+    /// requests to the host.
     pub unacknowledged: u32,
 }
 
-/// How far a command is, as this gateway knows.
+/// Progress of a command as known to this gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
-    /// Another gateway coordinates it.
+    /// This gateway does not coordinate the command and has received no completion of it.
     Elsewhere,
-    /// This gateway coordinates it.
+    /// This gateway coordinates the command, which is not complete yet.
     Draining {
-        /// Requests in flight at the host, as gateways reported them.
+        /// Sum of the requests in flight at the host that gateways reported.
         requests_in_flight: u32,
-        /// Gateways that have yet to report.
+        /// Number of gateways that have not reported yet.
         unacknowledged: usize,
     },
-    /// No gateway had requests in flight.
+    /// A coordinator determined that no gateway has requests in flight at the host.
     Completed(Completion),
 }
 
-/// A command that holds, and how far it is.
+/// Current command for a host, and its progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CommandStatus {
-    /// The command.
+    /// Current command for its host.
     pub command: DrainCommand,
-    /// How far it is, as this gateway knows.
+    /// Progress of the command as known to this gateway.
     pub progress: Progress,
 }
--- a/crates/drain-coordination/src/settings.rs
+++ b/crates/drain-coordination/src/settings.rs
@@ -1,28 +1,29 @@
-//! Timers and the size of the fleet.
+//! Settings of drain coordination: the size of the fleet, and intervals.
 
 use irisrouter_cluster_types::Milliseconds;
 
-/// How long a gateway announces a command before its operator gets the answer that no quorum follows it.
+/// Default of [`Settings::replication_timeout`].
 const REPLICATION_TIMEOUT: Milliseconds = Milliseconds(2_000);
-/// Rounds of announcements in the duration of a lease.
+/// Number of announcement rounds per lease duration.
 const ROUNDS_PER_LEASE: u64 = 5;
 
 /// Settings of drain coordination.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
-    /// Gateways in the fleet's list, whether they run or not.
+    /// Number of gateways in the fleet's list, including those that are down.
     pub fleet_size: u32,
-    /// Time between two rounds in which gateways that have not reported "no requests in flight" are asked again.
+    /// Interval at which a command is announced again to the gateways that have not acknowledged it: those that do not
+    /// follow a new command yet, and those that have not reported zero requests in flight to the coordinator.
     pub round_interval: Milliseconds,
-    /// Time between two announcements to all gateways, idle ones included: a gateway that starts again learns of a drain
-    /// within this time.
+    /// Interval at which the coordinator announces a command to all gateways, including those that have reported zero
+    /// requests in flight. A restarted gateway receives the command within this interval.
     pub refresh_interval: Milliseconds,
-    /// Time for which a new command is announced before its operator gets the answer that no quorum follows it.
+    /// Time from the issue of a command until its operator gets the answer that no quorum follows it.
     pub replication_timeout: Milliseconds,
 }
 
 impl Settings {
-    /// The settings of a fleet of this size whose leases run for `lease_duration`.
+    /// Returns the settings for a fleet of `fleet_size` gateways whose leases last `lease_duration`.
     #[must_use]
     pub const fn for_lease(fleet_size: u32, lease_duration: Milliseconds) -> Self {
         Self {
@@ -33,7 +34,7 @@
         }
     }
 
-    /// Gateways that make a majority of the fleet's list.
+    /// Returns the number of gateways that form a majority of the fleet's list.
     pub(crate) const fn quorum(&self) -> usize {
         self.fleet_size as usize / 2 + 1
     }
