--- a/crates/drain-coordination/tests/codec.rs
+++ b/crates/drain-coordination/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec on arbitrary messages and bytes.
+//! Property tests of the codec with arbitrary messages and arbitrary bytes.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, HostId, Milliseconds, Timestamp, UnixMilliseconds,
@@ -9,7 +9,7 @@
 };
 use proptest::prelude::*;
 
-/// A gateway that holds no lease and has no requests in flight.
+/// State of a gateway that holds no lease and has no requests in flight.
 struct IdleGateway;
 
 impl LocalState for IdleGateway {
--- a/crates/drain-coordination/tests/commands.rs
+++ b/crates/drain-coordination/tests/commands.rs
@@ -1,4 +1,4 @@
-//! Commands without a fleet: how many are remembered, and what they do to a set of hosts.
+//! Tests of commands at a single gateway: the limit of the command log, and the effect of commands on a group of hosts.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, HostId, Milliseconds, Timestamp, UnixMilliseconds,
@@ -8,7 +8,7 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A gateway that holds every lease and has no requests in flight.
+/// State of a gateway that holds every lease and has no requests in flight.
 struct LeaseHolder;
 
 impl LocalState for LeaseHolder {
@@ -34,7 +34,7 @@
                 HostId(host),
                 DesiredState::Drained,
             )
-            .expect("there is room for the command");
+            .expect("the log is not full");
     }
     let [returned_host, another_host] = [HostId(5), HostId(999)];
     let error = coordinator
@@ -44,7 +44,7 @@
             another_host,
             DesiredState::Drained,
         )
-        .expect_err("there is no room for the command");
+        .expect_err("the log is full");
     assert_eq!(error.to_string(), "256 hosts are spoken of already");
     coordinator
         .issue(
@@ -68,9 +68,9 @@
         .any(|status| status.command.host == returned_host));
 }
 
-/// Guards against two operators who drain a set's last two hosts at the same moment.
+/// Guards against a group without any host in service, after two operators drained its last two hosts at the same time.
 #[test]
-fn host_of_latest_command_stays_in_service_when_commands_would_empty_its_set() {
+fn host_of_latest_command_stays_in_service_when_commands_would_drain_its_whole_group() {
     let drain = |host, issued_at| DrainCommand {
         host: HostId(host),
         desired_state: DesiredState::Drained,
--- a/crates/drain-coordination/tests/fleet.rs
+++ b/crates/drain-coordination/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Whole fleets of [`DrainCoordinator`]s on a simulated network, in virtual time and seeded: which gateways follow a command,
-//! which one completes it, and what is left of it when gateways crash, start again, are cut off or lose datagrams.
+//! Tests of whole fleets of [`DrainCoordinator`]s on a simulated network, with virtual time and a seed: which gateways
+//! follow a command, which gateway completes it, and how it survives crashes, restarts, partitions and lost datagrams.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, HostId, Milliseconds, Timestamp, UnixMilliseconds,
@@ -18,7 +18,7 @@
 /// Virtual time between two steps of the simulation.
 const STEP: Milliseconds = Milliseconds(10);
 
-/// The lease that a gateway holds, and its requests in flight at [`HOST`].
+/// State of a gateway: the lease that it holds, and its number of requests in flight at [`HOST`].
 #[derive(Clone, Default)]
 struct SimulatedState {
     fencing_token: Option<Epoch>,
@@ -41,16 +41,16 @@
     bytes: Vec<u8>,
 }
 
-/// A completion that a gateway found as the coordinator.
+/// Completion that a gateway determined as the coordinator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct FoundCompletion {
+struct CoordinatorCompletion {
     gateway: usize,
     epoch: Epoch,
     unacknowledged: u32,
 }
 
 struct Gateway {
-    /// None while the gateway is down.
+    /// `None` while the gateway is down.
     coordinator: Option<DrainCoordinator>,
     local: SimulatedState,
     generation: Generation,
@@ -59,14 +59,14 @@
 struct Fleet {
     now: Timestamp,
     gateways: Vec<Gateway>,
-    /// Pairs (from, to) between which nothing is delivered.
-    cuts: BTreeSet<(usize, usize)>,
+    /// Pairs (sender, recipient) between which all datagrams are lost.
+    blocked_links: BTreeSet<(usize, usize)>,
     loss_percent: u32,
-    /// Datagrams on their way, by the time of their arrival and the order in which they were sent.
+    /// Datagrams in transit, by their arrival time and their sequence number.
     in_transit: BTreeMap<(Timestamp, u64), Datagram>,
-    sent: u64,
+    sent_count: u64,
     rng: SmallRng,
-    /// All actions but the sending of datagrams, in order, with the gateways that took them.
+    /// All actions except `Send`, in order, with the gateways that carried them out.
     actions: Vec<(usize, Action)>,
 }
 
@@ -74,13 +74,13 @@
     Settings::for_lease(fleet_size as u32, Milliseconds(1_000))
 }
 
-/// The id of the gateway with this index in [`Fleet::gateways`].
-fn id(number: usize) -> GatewayId {
-    GatewayId(number as u32)
+/// Returns the id of the gateway with this index in [`Fleet::gateways`].
+fn gateway_id(index: usize) -> GatewayId {
+    GatewayId(index as u32)
 }
 
-/// Both directions between a gateway and all others of a fleet of five.
-fn isolation_of(gateway: usize) -> BTreeSet<(usize, usize)> {
+/// Returns the links, in both directions, between a gateway and all others of a fleet of five.
+fn gateway_links(gateway: usize) -> BTreeSet<(usize, usize)> {
     (0..5)
         .filter(|&other| other != gateway)
         .flat_map(|other| [(gateway, other), (other, gateway)])
@@ -89,32 +89,32 @@
 
 impl Fleet {
     fn new(size: usize, seed: u64) -> Self {
-        let gateway = |number: usize| Gateway {
-            coordinator: Some(DrainCoordinator::new(id(number), settings(size))),
+        let gateway = |index: usize| Gateway {
+            coordinator: Some(DrainCoordinator::new(gateway_id(index), settings(size))),
             local: SimulatedState::default(),
             generation: Generation(0),
         };
         Fleet {
             now: Timestamp::ZERO,
             gateways: (0..size).map(gateway).collect(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             loss_percent: 0,
             in_transit: BTreeMap::new(),
-            sent: 0,
+            sent_count: 0,
             rng: SmallRng::seed_from_u64(seed),
             actions: Vec::new(),
         }
     }
 
-    fn restart(&mut self, number: usize) {
+    fn restart(&mut self, index: usize) {
         let settings = settings(self.gateways.len());
-        let gateway = &mut self.gateways[number];
+        let gateway = &mut self.gateways[index];
         gateway.generation.0 += 1;
-        gateway.coordinator = Some(DrainCoordinator::new(id(number), settings));
+        gateway.coordinator = Some(DrainCoordinator::new(gateway_id(index), settings));
         gateway.local = SimulatedState::default();
     }
 
-    /// Gives the lease of the drain to one gateway, under this epoch.
+    /// Grants the lease of the drain to one gateway under this epoch, and revokes it from all others.
     fn grant_lease(&mut self, holder: usize, epoch: Epoch) {
         for gateway in &mut self.gateways {
             gateway.local.fencing_token = None;
@@ -122,38 +122,38 @@
         self.gateways[holder].local.fencing_token = Some(epoch);
     }
 
-    fn issue(&mut self, number: usize, desired_state: DesiredState) {
+    fn issue(&mut self, index: usize, desired_state: DesiredState) {
         let now = self.now;
         let wall_clock = UnixMilliseconds(1_000 + now.as_millis());
-        let coordinator = self.gateways[number].coordinator.as_mut();
+        let coordinator = self.gateways[index].coordinator.as_mut();
         coordinator
             .expect("the gateway is up")
             .issue(now, wall_clock, HOST, desired_state)
-            .expect("room for the command");
+            .expect("the command log is not full");
     }
 
-    /// The processes of the gateways that one of them can reach.
-    fn reachable_from(&self, number: usize) -> Vec<GatewayProcess> {
+    /// Returns the processes of the gateways that are up and reachable from one of them.
+    fn reachable_from(&self, index: usize) -> Vec<GatewayProcess> {
         self.gateways
             .iter()
             .enumerate()
             .filter(|(_, gateway)| gateway.coordinator.is_some())
-            .filter(|(other, _)| !self.cuts.contains(&(number, *other)))
+            .filter(|(other, _)| !self.blocked_links.contains(&(index, *other)))
             .map(|(other, gateway)| GatewayProcess {
-                gateway: id(other),
+                gateway: gateway_id(other),
                 generation: gateway.generation,
             })
             .collect()
     }
 
-    /// One step of a gateway's coordinator, and its actions.
+    /// Runs one operation of a gateway's coordinator, and carries out the resulting actions.
     fn step(
         &mut self,
-        number: usize,
+        index: usize,
         operation: impl FnOnce(&mut DrainCoordinator, Timestamp, &SimulatedState),
     ) {
-        let reachable = self.reachable_from(number);
-        let gateway = &mut self.gateways[number];
+        let reachable = self.reachable_from(index);
+        let gateway = &mut self.gateways[index];
         let Some(coordinator) = gateway.coordinator.as_mut() else {
             return;
         };
@@ -162,27 +162,30 @@
         let actions: Vec<Action> = coordinator.take_actions().collect();
         for action in actions {
             match action {
-                Action::Send { to, bytes } => self.send(number, to.0 as usize, bytes),
-                other => self.actions.push((number, other)),
+                Action::Send { to, bytes } => self.send(index, to.0 as usize, bytes),
+                other => self.actions.push((index, other)),
             }
         }
     }
 
     fn send(&mut self, from: usize, to: usize, bytes: Vec<u8>) {
         assert!(bytes.len() <= codec::MAX_DATAGRAM_BYTES);
-        if self.cuts.contains(&(from, to)) || self.rng.random_range(0..100) < self.loss_percent {
+        if self.blocked_links.contains(&(from, to))
+            || self.rng.random_range(0..100) < self.loss_percent
+        {
             return;
         }
-        self.sent += 1;
+        self.sent_count += 1;
         let arrives_at = self.now + Milliseconds(1 + self.rng.random_range(0..5));
         let datagram = Datagram { from, to, bytes };
-        self.in_transit.insert((arrives_at, self.sent), datagram);
+        self.in_transit
+            .insert((arrives_at, self.sent_count), datagram);
     }
 
     fn receive(&mut self, datagram: &Datagram) {
         self.step(datagram.to, |coordinator, now, local| {
             coordinator
-                .receive(now, id(datagram.from), &datagram.bytes, local)
+                .receive(now, gateway_id(datagram.from), &datagram.bytes, local)
                 .expect("the datagram can be read");
         });
     }
@@ -198,40 +201,40 @@
                 let datagram = entry.remove();
                 self.receive(&datagram);
             }
-            for number in 0..self.gateways.len() {
-                self.step(number, |coordinator, now, local| {
+            for index in 0..self.gateways.len() {
+                self.step(index, |coordinator, now, local| {
                     coordinator.advance(now, local);
                 });
             }
         }
     }
 
-    fn status(&self, number: usize) -> Option<CommandStatus> {
-        self.gateways[number]
+    fn status(&self, index: usize) -> Option<CommandStatus> {
+        self.gateways[index]
             .coordinator
             .as_ref()?
             .commands()
             .find(|status| status.command.host == HOST)
     }
 
-    fn command(&self, number: usize) -> Option<DrainCommand> {
-        self.status(number).map(|status| status.command)
+    fn command(&self, index: usize) -> Option<DrainCommand> {
+        self.status(index).map(|status| status.command)
     }
 
-    fn progress(&self, number: usize) -> Option<Progress> {
-        self.status(number).map(|status| status.progress)
+    fn progress(&self, index: usize) -> Option<Progress> {
+        self.status(index).map(|status| status.progress)
     }
 
-    fn drains(&self, number: usize) -> bool {
-        self.command(number).is_some_and(|command| command.drains())
+    fn drains(&self, index: usize) -> bool {
+        self.command(index).is_some_and(|command| command.drains())
     }
 
     fn all_drain(&self) -> bool {
-        (0..self.gateways.len()).all(|number| self.drains(number))
+        (0..self.gateways.len()).all(|index| self.drains(index))
     }
 
-    /// The completions that coordinators found, in order.
-    fn found_completions(&self) -> Vec<FoundCompletion> {
+    /// Returns the completions that coordinators determined, in order.
+    fn coordinator_completions(&self) -> Vec<CoordinatorCompletion> {
         self.actions
             .iter()
             .filter_map(|(gateway, action)| match action {
@@ -239,7 +242,7 @@
                     completion,
                     origin: CompletionOrigin::ThisGateway,
                     ..
-                } => Some(FoundCompletion {
+                } => Some(CoordinatorCompletion {
                     gateway: *gateway,
                     epoch: completion.epoch,
                     unacknowledged: completion.unacknowledged,
@@ -249,7 +252,7 @@
             .collect()
     }
 
-    /// The latest answer to an operator.
+    /// Returns the latest answer to an operator.
     fn latest_replication(&self) -> Option<ReplicationProgress> {
         self.actions
             .iter()
@@ -274,13 +277,13 @@
             majority: true
         })
     );
-    assert!((0..5).all(|number| {
-        let command = fleet.command(number);
+    assert!((0..5).all(|index| {
+        let command = fleet.command(index);
         command.is_some_and(|command| command.drains() && command.issued_by == GatewayId(0))
     }));
     fleet.grant_lease(1, Epoch(10));
     fleet.run(Milliseconds(2_000));
-    assert_eq!(fleet.found_completions(), []);
+    assert_eq!(fleet.coordinator_completions(), []);
     assert_eq!(
         fleet.progress(1),
         Some(Progress::Draining {
@@ -290,21 +293,21 @@
     );
     fleet.gateways[3].local.requests_in_flight = 0;
     fleet.run(Milliseconds(500));
-    let found = FoundCompletion {
+    let expected = CoordinatorCompletion {
         gateway: 1,
         epoch: Epoch(10),
         unacknowledged: 0,
     };
-    assert_eq!(fleet.found_completions(), [found]);
+    assert_eq!(fleet.coordinator_completions(), [expected]);
     let completed = Progress::Completed(Completion {
         epoch: Epoch(10),
         unacknowledged: 0,
     });
-    assert!((0..5).all(|number| fleet.progress(number) == Some(completed)));
+    assert!((0..5).all(|index| fleet.progress(index) == Some(completed)));
 }
 
-/// Guards against a drain that ends with its coordinator, one that two gateways complete, and a completion by the reports
-/// that another coordinator received.
+/// Guards against three failures after a change of the coordinator: the drain is never completed, two gateways complete
+/// it, or it is completed on the basis of reports to the previous coordinator.
 #[test]
 fn drain_is_completed_by_next_coordinator_and_older_epoch_is_ignored() {
     let mut fleet = Fleet::new(5, 2);
@@ -312,16 +315,17 @@
     fleet.issue(0, DesiredState::Drained);
     fleet.grant_lease(1, Epoch(10));
     fleet.run(Milliseconds(1_000));
-    // The coordinator is cut off and goes on under its old epoch; another gateway holds the lease under a later one.
-    fleet.cuts = isolation_of(1);
+    // The coordinator is isolated and continues under its old epoch, while another gateway holds the lease under a
+    // later epoch.
+    fleet.blocked_links = gateway_links(1);
     fleet.gateways[2].local.fencing_token = Some(Epoch(11));
     fleet.run(Milliseconds(1_000));
-    assert_eq!(fleet.found_completions(), []);
-    fleet.cuts.clear();
+    assert_eq!(fleet.coordinator_completions(), []);
+    fleet.blocked_links.clear();
     fleet.gateways[4].local.requests_in_flight = 0;
     let late_completion = Message {
         kind: MessageKind::Completion,
-        command: fleet.command(0).expect("a command that is known"),
+        command: fleet.command(0).expect("the gateway knows the command"),
         epoch: Epoch(10),
         count: 0,
     };
@@ -332,15 +336,15 @@
     });
     assert!(
         !matches!(fleet.progress(3), Some(Progress::Completed(_))),
-        "the completion of an older coordinator is ignored"
+        "a completion with an older epoch is ignored"
     );
     fleet.run(Milliseconds(1_000));
-    let found = FoundCompletion {
+    let expected = CoordinatorCompletion {
         gateway: 2,
         epoch: Epoch(11),
         unacknowledged: 0,
     };
-    assert_eq!(fleet.found_completions(), [found]);
+    assert_eq!(fleet.coordinator_completions(), [expected]);
 }
 
 #[test]
@@ -350,24 +354,24 @@
     fleet.issue(0, DesiredState::Drained);
     fleet.grant_lease(1, Epoch(10));
     fleet.run(Milliseconds(1_000));
-    // The gateway with a request in flight dies: its request is gone, and its new process has to report that.
+    // The gateway with a request in flight crashes. Its request is lost, and its new process has to report so.
     fleet.gateways[3].coordinator = None;
     fleet.run(Milliseconds(500));
-    let found = FoundCompletion {
+    let expected = CoordinatorCompletion {
         gateway: 1,
         epoch: Epoch(10),
         unacknowledged: 1,
     };
     assert_eq!(
-        fleet.found_completions(),
-        [found],
-        "the completion counts the gateway that is down"
+        fleet.coordinator_completions(),
+        [expected],
+        "the completion counts the gateway that is down as unacknowledged"
     );
     fleet.restart(3);
     assert_eq!(fleet.command(3), None);
     fleet.run(settings(4).refresh_interval + Milliseconds(50));
     assert!(fleet.drains(3));
-    // All candidates for the lease start again: a gateway that still knows the command announces it to them.
+    // All candidates for the lease restart. A gateway that still knows the command announces it to them.
     let gateways: Vec<GatewayId> = (0..4).map(GatewayId).collect();
     let candidates = irisrouter_leases::rendezvous::candidates(task_id(HOST), &gateways);
     for &candidate in &candidates[..3] {
@@ -378,35 +382,36 @@
 }
 
 #[test]
-fn later_command_wins_at_gateway_that_was_cut_off() {
+fn later_command_wins_at_gateway_that_was_isolated() {
     let mut fleet = Fleet::new(5, 4);
     fleet.issue(0, DesiredState::Drained);
     fleet.grant_lease(1, Epoch(10));
     fleet.run(Milliseconds(500));
-    fleet.cuts = isolation_of(4);
+    fleet.blocked_links = gateway_links(4);
     fleet.issue(2, DesiredState::InService);
     fleet.run(Milliseconds(1_000));
-    assert!((0..4).all(|number| {
-        let command = fleet.command(number);
+    assert!((0..4).all(|index| {
+        let command = fleet.command(index);
         command.is_some_and(|command| !command.drains() && command.issued_by == GatewayId(2))
     }));
     assert!(
         fleet.drains(4),
-        "the gateway that is cut off follows what it knows"
+        "the isolated gateway continues to follow the earlier command"
     );
-    // After the partition it announces its older command as any gateway without the lease does, and gets the later one.
-    fleet.cuts.clear();
+    // After the partition the gateway announces its earlier command, as every gateway does that receives no message
+    // from a coordinator, and the later command is announced to it in reply.
+    fleet.blocked_links.clear();
     fleet.run(Milliseconds(10_000));
-    assert!((0..5).all(|number| {
-        let command = fleet.command(number);
+    assert!((0..5).all(|index| {
+        let command = fleet.command(index);
         command.is_some_and(|command| !command.drains())
     }));
 }
 
 #[test]
-fn command_without_quorum_is_reported_to_operator_and_spreads_after_partition() {
+fn command_without_quorum_is_reported_to_operator_and_replicated_after_partition() {
     let mut fleet = Fleet::new(5, 5);
-    fleet.cuts = isolation_of(0);
+    fleet.blocked_links = gateway_links(0);
     fleet.issue(0, DesiredState::Drained);
     fleet.run(settings(5).replication_timeout + Milliseconds(100));
     assert_eq!(
@@ -416,9 +421,9 @@
             majority: false
         })
     );
-    // It holds at its gateway all the same. After the partition the lease candidates learn of it, and the one that gets
-    // the lease announces it to all others.
-    fleet.cuts.clear();
+    // The gateway at which the command was issued follows it nevertheless. After the partition it announces the command
+    // to the lease candidates, and the candidate that acquires the lease announces it to all others.
+    fleet.blocked_links.clear();
     fleet.run(settings(5).refresh_interval * 5);
     let gateways: Vec<GatewayId> = (0..5).map(GatewayId).collect();
     let candidates = irisrouter_leases::rendezvous::candidates(task_id(HOST), &gateways);
@@ -429,7 +434,7 @@
     assert!(fleet.all_drain());
 }
 
-/// A step of a random sequence of faults at a fleet of five.
+/// Step of a random sequence of faults and commands in a fleet of five.
 #[derive(Debug, Clone, Copy)]
 enum Fault {
     Loss { percent: u32 },
@@ -448,13 +453,13 @@
         (0usize..5).prop_map(Fault::Isolate),
         Just(Fault::Heal),
         (0usize..5).prop_map(Fault::MoveLease),
-        (0usize..5, desired_state).prop_map(|(number, state)| Fault::Issue(number, state)),
+        (0usize..5, desired_state).prop_map(|(index, state)| Fault::Issue(index, state)),
     ]
 }
 
 proptest! {
-    /// Whatever is lost, restarted and cut off meanwhile: once all gateways reach each other, all follow the last command,
-    /// and one coordinator completes it once, never while a gateway that reported has requests in flight.
+    /// After any sequence of losses, restarts and partitions: once all gateways reach each other again, all of them
+    /// follow the last command, and one coordinator completes it exactly once.
     #[test]
     fn random_faults_leave_one_command_and_one_completion(
         seed in any::<u64>(),
@@ -466,27 +471,27 @@
         for fault in faults {
             match fault {
                 Fault::Loss { percent } => fleet.loss_percent = percent,
-                Fault::Restart(number) => fleet.restart(number),
-                Fault::Isolate(number) => fleet.cuts = isolation_of(number),
-                Fault::Heal => fleet.cuts.clear(),
-                Fault::MoveLease(number) => {
+                Fault::Restart(index) => fleet.restart(index),
+                Fault::Isolate(index) => fleet.blocked_links = gateway_links(index),
+                Fault::Heal => fleet.blocked_links.clear(),
+                Fault::MoveLease(index) => {
                     epoch += 1;
-                    fleet.grant_lease(number, Epoch(epoch));
+                    fleet.grant_lease(index, Epoch(epoch));
                 }
-                Fault::Issue(number, desired_state) => fleet.issue(number, desired_state),
+                Fault::Issue(index, desired_state) => fleet.issue(index, desired_state),
             }
             fleet.run(Milliseconds(300));
         }
         epoch += 1;
         fleet.loss_percent = 0;
-        fleet.cuts.clear();
+        fleet.blocked_links.clear();
         fleet.issue(2, DesiredState::Drained);
         let last_command = fleet.command(2);
         fleet.grant_lease(1, Epoch(epoch));
         fleet.actions.clear();
         fleet.run(Milliseconds(6_000));
-        prop_assert!((0..5).all(|number| fleet.command(number) == last_command));
-        let found = FoundCompletion { gateway: 1, epoch: Epoch(epoch), unacknowledged: 0 };
-        prop_assert_eq!(fleet.found_completions(), vec![found]);
+        prop_assert!((0..5).all(|index| fleet.command(index) == last_command));
+        let expected = CoordinatorCompletion { gateway: 1, epoch: Epoch(epoch), unacknowledged: 0 };
+        prop_assert_eq!(fleet.coordinator_completions(), vec![expected]);
     }
 }
--- a/crates/drain-coordination/tests/golden.rs
+++ b/crates/drain-coordination/tests/golden.rs
@@ -1,13 +1,13 @@
 //! Golden tests of the datagrams by which gateways coordinate the drains of database hosts.
 //!
-//! Pinned are the exact bytes of every kind of message, what the decoder returns for these bytes and for malformed ones, the
-//! task ids of drains, and the precedence of commands. A fleet is upgraded one gateway at a time, so gateways of the old and
-//! the new version exchange these datagrams with each other, and have to agree on the coordinator of a drain and on the
-//! command that holds: a change of a single byte or number would leave a host in service at some gateways, or complete a
-//! drain too early. A refactoring must leave every literal in this file as it is; an intended change of the format needs a
-//! new first byte.
+//! The tests pin the exact bytes of every kind of message, the results of decoding these bytes and malformed ones, the
+//! task ids of drains, and the precedence of commands. A fleet is upgraded one gateway at a time, so gateways of the
+//! old and the new version exchange these datagrams, and have to agree on the coordinator of a drain and on the current
+//! command for a host: a change of a single byte or number would leave a host in service at some gateways, or complete
+//! a drain too early. A refactoring must leave every literal in this file unchanged; an intended change of
+//! the format needs a new first byte.
 //!
-//! Literals are groups of hex digits, one group for each field of the layout; white space between them is ignored.
+//! Expected bytes are written as groups of hex digits, one group per field of the layout; white space is ignored.
 
 use irisrouter_cluster_types::{Epoch, GatewayId, HostId, TaskId, UnixMilliseconds};
 use irisrouter_drain_coordination::codec::{
@@ -19,7 +19,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: all messages that are pinned here are built in this part of the file.
+// Test values: all pinned messages are built in this section.
 
 fn command(desired_state: DesiredState) -> DrainCommand {
     DrainCommand {
@@ -30,7 +30,7 @@
     }
 }
 
-/// A message about a host that is to be out of service.
+/// Builds a message about a command that drains its host.
 fn message(kind: MessageKind) -> Message {
     Message {
         kind,
@@ -40,7 +40,7 @@
     }
 }
 
-/// A message about a host that is to be back in service.
+/// Builds a message about a command that returns its host to service.
 fn return_message(kind: MessageKind) -> Message {
     Message {
         command: command(DesiredState::InService),
@@ -48,7 +48,7 @@
     }
 }
 
-/// A message as sent by a gateway that coordinates nothing.
+/// Builds a message as it is sent by a gateway that is not the coordinator.
 fn without_epoch_and_count(kind: MessageKind) -> Message {
     Message {
         epoch: Epoch(0),
@@ -72,14 +72,14 @@
     }
 }
 
-/// Messages that differ in every field.
-fn many(count: u32) -> Vec<Message> {
+/// Builds `count` messages whose numbers all differ.
+fn distinct_messages(count: u32) -> Vec<Message> {
     let kinds = [
         MessageKind::Announcement,
         MessageKind::Report,
         MessageKind::Completion,
     ];
-    let one = |i: u32| Message {
+    let numbered_message = |i: u32| Message {
         kind: kinds[i as usize % kinds.len()],
         command: DrainCommand {
             host: HostId(0x0100_0000 + i),
@@ -94,21 +94,21 @@
         epoch: Epoch(0x3100_0000_0000_0000 + u64::from(i)),
         count: 0x4100_0000 + i,
     };
-    (0..count).map(one).collect()
+    (0..count).map(numbered_message).collect()
 }
 
 // Helpers.
 
-fn literal(expected: &str) -> String {
+fn without_whitespace(expected: &str) -> String {
     expected.split_whitespace().collect()
 }
 
-/// A datagram of these messages has these bytes, and is `read` from them.
+/// Asserts that these messages are encoded as the `expected` hex digits, and that the bytes are decoded as `decoded`.
 #[track_caller]
-fn assert_bytes_and_decoded(messages: &[Message], expected: &str, read: &[Message]) {
+fn assert_bytes_and_decoded(messages: &[Message], expected: &str, decoded: &[Message]) {
     let bytes = encode(messages);
-    assert_eq!(hex(&bytes), literal(expected));
-    assert_eq!(decode(&bytes).as_deref(), Ok(read));
+    assert_eq!(hex(&bytes), without_whitespace(expected));
+    assert_eq!(decode(&bytes).as_deref(), Ok(decoded));
 }
 
 #[track_caller]
@@ -127,7 +127,7 @@
     );
 }
 
-// The bytes.
+// Encoded bytes.
 
 #[test]
 fn bounds_and_first_byte_keep_their_values() {
@@ -190,7 +190,7 @@
 #[test]
 fn longest_datagram_keeps_its_bytes_and_messages_beyond_it_are_left_out() {
     assert_bytes_and_decoded(
-        &many(10),
+        &distinct_messages(10),
         "e1 08
         00 00 01000000 1100000000000000 21000000 3100000000000000 41000000
         01 01 01000001 1100000000000001 21000001 3100000000000001 41000001
@@ -200,11 +200,11 @@
         02 01 01000005 1100000000000005 21000005 3100000000000005 41000005
         00 00 01000006 1100000000000006 21000006 3100000000000006 41000006
         01 01 01000007 1100000000000007 21000007 3100000000000007 41000007",
-        &many(8),
+        &distinct_messages(8),
     );
 }
 
-// What is rejected.
+// Rejected datagrams.
 
 #[test]
 fn empty_datagram_is_rejected_as_short() {
@@ -218,7 +218,7 @@
         WireError::Version(0xe2),
         "first byte 0xe2 is of another kind or version",
     );
-    let mut bytes = encode(&many(2));
+    let mut bytes = encode(&distinct_messages(2));
     bytes[0] = 0xf1;
     assert_rejected(
         &bytes,
@@ -229,7 +229,7 @@
 
 #[test]
 fn datagram_cut_anywhere_is_rejected_as_short() {
-    let bytes = encode(&many(2));
+    let bytes = encode(&distinct_messages(2));
     for end in 0..bytes.len() {
         assert_rejected(
             &bytes[..end],
@@ -242,18 +242,26 @@
 #[test]
 fn trailing_bytes_are_rejected_as_long() {
     let text = "the datagram is longer than what it says";
-    assert_rejected(&[encode(&many(2)), vec![0]].concat(), WireError::Long, text);
     assert_rejected(
-        &[encode(&many(2)), vec![0; 30]].concat(),
+        &[encode(&distinct_messages(2)), vec![0]].concat(),
+        WireError::Long,
+        text,
+    );
+    assert_rejected(
+        &[encode(&distinct_messages(2)), vec![0; 30]].concat(),
+        WireError::Long,
+        text,
+    );
+    assert_rejected(
+        &[encode(&distinct_messages(8)), vec![0]].concat(),
         WireError::Long,
         text,
     );
-    assert_rejected(&[encode(&many(8)), vec![0]].concat(), WireError::Long, text);
 }
 
 #[test]
 fn unknown_kind_is_rejected_with_its_number() {
-    let mut bytes = encode(&many(2));
+    let mut bytes = encode(&distinct_messages(2));
     for (kind, text) in [(3, "unknown kind 3"), (255, "unknown kind 255")] {
         bytes[2 + 30] = kind;
         assert_rejected(&bytes, WireError::Unknown("kind", kind), text);
@@ -262,7 +270,7 @@
 
 #[test]
 fn unknown_state_is_rejected_with_its_number() {
-    let mut bytes = encode(&many(2));
+    let mut bytes = encode(&distinct_messages(2));
     for (state, text) in [(2, "unknown state 2"), (255, "unknown state 255")] {
         bytes[2 + 30 + 1] = state;
         assert_rejected(&bytes, WireError::Unknown("state", state), text);
@@ -270,8 +278,8 @@
 }
 
 #[test]
-fn count_other_than_the_messages_that_follow_is_rejected() {
-    let mut bytes = encode(&many(2));
+fn count_that_differs_from_the_number_of_messages_is_rejected() {
+    let mut bytes = encode(&distinct_messages(2));
     for count in [3, 9, 255] {
         bytes[1] = count;
         assert_rejected(&bytes, WireError::Short, "the datagram ends inside a field");
@@ -285,8 +293,8 @@
 }
 
 #[test]
-fn one_message_more_than_fit_is_rejected_as_long() {
-    let mut bytes = [encode(&many(8)), vec![0; 30]].concat();
+fn one_message_above_the_maximum_is_rejected_as_long() {
+    let mut bytes = [encode(&distinct_messages(8)), vec![0; 30]].concat();
     bytes[1] = 9;
     assert_rejected(
         &bytes,
@@ -306,10 +314,10 @@
     );
 }
 
-// Values on which all gateways agree.
+// Values that have to be the same at all gateways.
 
 #[test]
-fn task_id_of_a_host_s_drain_keeps_its_value() {
+fn drain_task_ids_keep_their_values() {
     assert_eq!(task_id(HostId(0)), TaskId(0x4452_4149_0000_0000));
     assert_eq!(task_id(HostId(7)), TaskId(0x4452_4149_0000_0007));
     assert_eq!(task_id(HostId(0x00ab_cdef)), TaskId(0x4452_4149_00ab_cdef));
@@ -324,7 +332,7 @@
         desired_state: DesiredState::Drained,
     };
     assert_eq!(command(DesiredState::Drained).precedence(), expected);
-    let in_order = [
+    let ascending_commands = [
         DrainCommand {
             issued_at: UnixMilliseconds(1),
             issued_by: GatewayId(9),
@@ -351,7 +359,7 @@
             ..command(DesiredState::InService)
         },
     ];
-    assert!(in_order
+    assert!(ascending_commands
         .windows(2)
         .all(|pair| pair[0].precedence() < pair[1].precedence()));
 }
