--- a/crates/drain-coordination/src/command_log.rs
+++ b/crates/drain-coordination/src/command_log.rs
@@ -60,7 +60,7 @@
                 requests_in_flight: coordination.requests_in_flight(),
                 unacknowledged: coordination.unacknowledged(fleet),
             },
-            (None, None) => Progress::Elsewhere,
+            (None, None) => Progress::NotCoordinator,
         }
     }
 }
--- a/crates/drain-coordination/src/progress.rs
+++ b/crates/drain-coordination/src/progress.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Progress {
     /// This gateway does not coordinate the command and has received no completion of it.
-    Elsewhere,
+    NotCoordinator,
     /// This gateway coordinates the command, which is not complete yet.
     Draining {
         /// Sum of the requests in flight at the host that gateways reported.
--- a/src/net/cluster/drains.rs
+++ b/src/net/cluster/drains.rs
@@ -262,7 +262,7 @@
                 requests_in_flight,
                 unacknowledged,
             } => format!("{name}:draining,open={requests_in_flight},unheard={unacknowledged}"),
-            Progress::Elsewhere => format!("{name}:elsewhere"),
+            Progress::NotCoordinator => format!("{name}:elsewhere"),
         }
     }
 
