--- a/crates/site-failover/src/codec.rs
+++ b/crates/site-failover/src/codec.rs
@@ -1,5 +1,5 @@
-//! The datagrams of plans and site load reports. They are bounded and versioned; numbers are
-//! big-endian.
+//! Datagram formats of plans and site load reports. The datagrams are versioned and of bounded
+//! length; all numbers are big-endian.
 //!
 //! ```text
 //! 0       magic and version: 0xD2 (`irisrouter-datagram` lists all magic bytes on the peer socket)
@@ -25,9 +25,9 @@
 //! then    m times: requests arrived (u16)
 //! ```
 //!
-//! Shares are sent in units of 1/65535 and budgets in thousandths of a request per second. Both are
-//! rounded down, so that a decoded plan never assigns more than the planner did. A plan of eight
-//! sites and sixteen classes has 24 + 8 * 23 + 32 = 240 bytes.
+//! Shares are encoded in units of 1/65535, and budgets in thousandths of a request per second. Both
+//! are rounded down, so that a decoded plan never assigns more load than the planner did. The
+//! longest plan, with eight sites and sixteen classes, has 24 + 8 * 23 + 32 = 240 bytes.
 
 use crate::load_report::{SiteLoadReport, SiteReachability};
 use crate::{Plan, PlanVersion, SiteIndex, SitePlan, SiteState, MAX_CLASSES, MAX_SITES};
@@ -43,32 +43,32 @@
 const STATE_UP: u8 = 0;
 const STATE_LOST: u8 = 1;
 const STATE_RECOVERING: u8 = 2;
-/// A share of 1 in the units in which shares are sent.
+/// Encoded value of a share of 1.
 const SHARE_UNITS: f64 = 65_535.0;
-/// One request per second in the units in which budgets are sent.
+/// Encoded value of a budget of one request per second.
 const BUDGET_UNITS: f64 = 1_000.0;
-/// Tolerance for adding up shares, far below one unit. Each share was rounded down, so the shares
-/// of a valid plan add up to more than 1 by floating-point error only.
+/// Tolerance of the check that shares add up to at most 1; far below one unit. Encoded shares are
+/// rounded down, so the sum of the shares of a valid plan exceeds 1 by floating-point error only.
 const SHARE_SUM_TOLERANCE: f64 = 1e-9;
 
-/// A decoded datagram.
+/// Content of a decoded datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Message {
-    /// A plan, for all gateways.
+    /// Plan, which the planner sends to all gateways.
     Plan(Plan),
-    /// A gateway's load report, for the planner.
+    /// Load report, which a gateway sends to the planner.
     SiteLoadReport(SiteLoadReport),
 }
 
-/// Whether a datagram belongs to site failover, in whatever version.
+/// Returns whether a datagram belongs to site failover, in any version.
 #[must_use]
 pub fn recognizes(datagram: &[u8]) -> bool {
     irisrouter_datagram::has_magic(datagram, MAGIC)
 }
 
 /// Encodes a load report. Sites beyond [`MAX_SITES`] and classes beyond [`MAX_CLASSES`] are left
-/// out, and a longer period is sent as
-/// [`MAX_PERIOD`](crate::load_report::SiteLoadReport::MAX_PERIOD).
+/// out. A period longer than [`MAX_PERIOD`](crate::load_report::SiteLoadReport::MAX_PERIOD) is
+/// encoded as that maximum.
 #[must_use]
 pub fn encode_load_report(report: &SiteLoadReport) -> Vec<u8> {
     let sites = &report.sites[..report.sites.len().min(MAX_SITES)];
@@ -123,14 +123,14 @@
     }
 }
 
-/// The index of a gateway's own site. Receivers reject every index from [`MAX_SITES`] on, and so
-/// one that does not fit into the byte.
+/// Returns the encoded index of a gateway's own site. An index that does not fit into the byte is
+/// encoded as 255, which receivers reject like every index that is not below [`MAX_SITES`].
 fn site_byte(site: SiteIndex) -> u8 {
     u8::try_from(site.0).unwrap_or(u8::MAX)
 }
 
 fn put_counts(buffer: &mut Vec<u8>, site_count: usize, class_count: usize) {
-    // At most 8 and 16.
+    // The casts lose nothing: the callers limit the counts to `MAX_SITES` and `MAX_CLASSES`.
     buffer.put_u8(site_count as u8);
     buffer.put_u8(class_count as u8);
 }
@@ -150,8 +150,7 @@
     }
 }
 
-/// Converts a share to the units in which it is sent, rounded down. The clamp keeps the result
-/// within 16 bits.
+/// Converts a share to its encoded value, rounded down. The clamp keeps the value within 16 bits.
 fn share_units(share: f64) -> u16 {
     (share.clamp(0.0, 1.0) * SHARE_UNITS) as u16
 }
--- a/crates/site-failover/src/follower.rs
+++ b/crates/site-failover/src/follower.rs
@@ -1,21 +1,21 @@
-//! Follows plans, on every gateway.
+//! The follower, which applies the latest plan on every gateway.
 
 use crate::{ClassIndex, Plan, Settings, SiteIndex};
 use irisrouter_cluster_types::{Milliseconds, Timestamp};
 
-/// Whether a plan admits a request.
+/// Decision of a plan about a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// The request is admitted.
     Admitted,
     /// The request is shed.
     Rejected {
-        /// How long its client is to wait before it retries.
+        /// Time for which the client is to wait before it retries.
         retry_after: Milliseconds,
     },
 }
 
-/// A plan, and when it was received.
+/// Plan, with the time at which it was received.
 #[derive(Debug, Clone)]
 struct ReceivedPlan {
     received_at: Timestamp,
@@ -30,7 +30,7 @@
 }
 
 impl Follower {
-    /// A follower that has received no plan.
+    /// Creates a follower that has received no plan.
     #[must_use]
     pub const fn new(settings: &Settings) -> Self {
         Self {
@@ -39,9 +39,9 @@
         }
     }
 
-    /// Receives a plan, from this gateway's planner or from another gateway. Returns whether it is
-    /// followed from now on: a plan that is not later than the one followed is ignored, whoever
-    /// sent it.
+    /// Processes a plan from this gateway's planner or from another gateway. Returns whether the
+    /// plan is followed from now on: a plan whose version is not later than that of the latest plan
+    /// is ignored, whichever gateway sent it.
     pub fn receive(&mut self, now: Timestamp, plan: Plan) -> bool {
         let is_later = self
             .latest
@@ -56,9 +56,10 @@
         is_later
     }
 
-    /// The plan in force. There is none where no plan was received, where the latest one changes
-    /// nothing, or where it has expired. A gateway that is cut off follows the latest plan until
-    /// then.
+    /// Returns the plan in force: the latest plan, unless it has no effect or has expired.
+    /// Returns `None` in these cases, and if no plan has been received. A gateway that receives no
+    /// further plans, because a network partition isolates it, follows the latest plan until it
+    /// expires.
     #[must_use]
     pub fn plan_in_force(&self, now: Timestamp) -> Option<&Plan> {
         let latest = self.latest.as_ref()?;
@@ -66,12 +67,12 @@
         (now < expires_at && latest.plan.in_force()).then_some(&latest.plan)
     }
 
-    /// Whether a request of this class is admitted. `draw` is uniform in [0, 1): every gateway
-    /// admits the same share of its own requests, so that all gateways together admit the plan's
-    /// share.
+    /// Returns whether a request of this class is admitted. `draw` is a random number, uniform in
+    /// [0, 1). Every gateway admits the plan's share of its own requests, so that all gateways
+    /// together admit the plan's share.
     ///
-    /// The retry delay is one to two times the plan's, by the same draw, so that clients rejected
-    /// together do not retry together.
+    /// The retry delay is one to two times the plan's delay, depending on the same draw, so that
+    /// clients rejected at the same time do not all retry at the same time.
     #[must_use]
     pub fn admit(&self, now: Timestamp, class: ClassIndex, draw: f64) -> Admission {
         let Some(plan) = self.plan_in_force(now) else {
@@ -81,17 +82,17 @@
         if draw < share {
             return Admission::Admitted;
         }
-        // A rejected request's draw is uniform in [share, 1): scaled to [0, 1] it serves as a
-        // second draw.
-        let spread = ((draw - share) / (1.0 - share).max(f64::EPSILON)).clamp(0.0, 1.0);
-        let retry_after_ms = (plan.retry_after.0 as f64 * (1.0 + spread)) as u32;
+        // The draw of a rejected request is uniform in [share, 1). Scaled to [0, 1] it serves as
+        // the random number for the retry delay.
+        let second_draw = ((draw - share) / (1.0 - share).max(f64::EPSILON)).clamp(0.0, 1.0);
+        let retry_after_ms = (plan.retry_after.0 as f64 * (1.0 + second_draw)) as u32;
         Admission::Rejected {
             retry_after: Milliseconds(u64::from(retry_after_ms)),
         }
     }
 
-    /// This gateway's part of the budget of a site, in requests per second; none where no plan
-    /// limits it.
+    /// Returns this gateway's part of the budget of a site, in requests per second; `None` if no
+    /// plan is in force or the plan does not cover the site.
     #[must_use]
     pub fn gateway_budget_per_s(&self, now: Timestamp, site: SiteIndex) -> Option<f64> {
         let plan = self.plan_in_force(now)?;
--- a/crates/site-failover/src/indexes.rs
+++ b/crates/site-failover/src/indexes.rs
@@ -1,14 +1,14 @@
-//! The indexes by which plans and load reports name sites and request classes.
+//! Indexes that identify sites and request classes in plans and load reports.
 //!
-//! They follow the order of the platform's configuration, which is the same at every gateway.
+//! They are positions in the platform's configuration, which is the same at every gateway.
 
 use std::fmt;
 
-/// A site, by the index of its zone in the platform's configuration.
+/// Index of a site: the index of its zone in the platform's configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct SiteIndex(pub usize);
 
-/// A request class, by its index in the platform's configuration.
+/// Index of a request class in the platform's configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct ClassIndex(pub usize);
 
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -1,20 +1,22 @@
-//! Failover for the loss of a whole site: where its load goes, which requests are shed first, and
-//! how the site recovers.
+//! Failover for the loss of a whole site: which sites take over its load, which requests are shed
+//! first, and how the site recovers.
 //!
-//! A site is a zone of the platform's configuration. One gateway at a time makes the plan: it holds
-//! the lease of the task [`TASK_ID`] (`irisrouter-leases`), and the lease's epoch orders plans of
-//! different planners.
+//! A site is a zone of the platform's configuration. One gateway at a time is the planner: it holds
+//! the lease of the task [`TASK_ID`] (`irisrouter-leases`), and the lease's epoch orders the plans
+//! of different planners.
 //!
 //! 1. Every gateway sends a [`SiteLoadReport`](load_report::SiteLoadReport) to the planner.
-//! 2. The planner sums the reports up ([`SiteLoadReports`](load_report::SiteLoadReports)) and
+//! 2. The planner adds up the reports ([`SiteLoadReports`](load_report::SiteLoadReports)) and
 //!    decides which sites are lost or recovering ([`Planner::observe`]).
-//! 3. It plans where the load of a lost site goes and what has to be shed ([`Planner::next_plan`]),
-//!    and sends the plan to all gateways.
-//! 4. Every gateway follows the latest plan that it received ([`Follower`]). A gateway that is cut
-//!    off continues with that plan, not with a guess of its own, until the plan expires.
+//! 3. It plans which sites take over the load of a lost site and what has to be shed
+//!    ([`Planner::next_plan`]), and sends the plan to all gateways.
+//! 4. Every gateway follows the latest plan that it received ([`Follower`]). A gateway that is
+//!    isolated by a network partition continues to follow that plan until it expires, and makes no
+//!    plan from its partial view.
 //!
-//! Loads and capacities are requests of mean work per second. The package does no I/O and reads no
-//! clock. It supplies inputs to the routing policy and selects no host itself.
+//! Loads and capacities are in requests per second, where a request stands for the mean work of a
+//! request. The package does no I/O and reads no clock. It supplies inputs to the routing policy
+//! and does not choose hosts itself.
 
 #![forbid(unsafe_code)]
 
@@ -37,11 +39,12 @@
 
 use irisrouter_cluster_types::TaskId;
 
-/// The task under which planning is leased ("SITE" in ASCII). Its id is above the number of any
-/// database set that a platform assigns.
+/// Id of the leased task whose lease holder is the planner (the upper 32 bits are "SITE" in ASCII).
+/// It is above the number of any database group, which a platform assigns, so that the two kinds of
+/// task ids never collide.
 pub const TASK_ID: TaskId = TaskId(0x5349_5445_0000_0000);
 
-/// The most sites that a plan covers, so that a plan fits one datagram.
+/// Maximum number of sites in a plan, so that a plan fits into one datagram.
 pub const MAX_SITES: usize = 8;
-/// The most request classes that a plan covers, so that a plan fits one datagram.
+/// Maximum number of request classes in a plan, so that a plan fits into one datagram.
 pub const MAX_CLASSES: usize = 16;
--- a/crates/site-failover/src/load_report.rs
+++ b/crates/site-failover/src/load_report.rs
@@ -1,9 +1,10 @@
-//! Site load reports: what each gateway sends to the planner, and their sums over all gateways.
+//! Site load reports, which each gateway sends to the planner, and their sums over all gateways.
 //!
-//! A report carries the requests that arrived at its gateway by class, and for each site the hosts
-//! that the gateway observed lately, how many of those are silent, and how many requests it sent
-//! there and got answered. Hosts are counted and not named: a plan needs only sums over gateways,
-//! and a gateway with a bad link weighs no more than what it observes.
+//! A report contains the number of requests that arrived at its gateway, by class. For each site it
+//! contains the number of hosts for which the gateway has a recent result, the number of silent
+//! ones among them, and the numbers of requests sent and answered. Hosts are counted and not
+//! identified, because a plan needs only sums over gateways. A gateway with a bad link affects the
+//! sums only by the hosts that it observes itself.
 
 use crate::{SiteIndex, SiteObservation};
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp};
@@ -11,42 +12,42 @@
 
 const MS_PER_S: f64 = 1_000.0;
 
-/// What a gateway observed of one site since its last report.
+/// Observations of one site by one gateway since its last report.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SiteReachability {
-    /// Hosts that answered or failed lately.
+    /// Number of hosts that recently answered, or failed to answer, a request or a health check.
     pub hosts: u16,
-    /// Of those, the silent ones.
+    /// Number of silent hosts among `hosts`.
     pub silent: u16,
-    /// Requests sent to the site that ended.
+    /// Number of requests sent to the site that have ended.
     pub sent: u16,
-    /// Of those, the ones that the site's hosts answered.
+    /// Number of requests in `sent` that the site's hosts answered.
     pub answered: u16,
 }
 
-/// The load report of one gateway.
+/// Load report of one gateway.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SiteLoadReport {
-    /// The gateway's own site.
+    /// Site of the gateway.
     pub site: SiteIndex,
-    /// The period that the report covers, at most [`SiteLoadReport::MAX_PERIOD`].
+    /// Period that the report covers, at most [`SiteLoadReport::MAX_PERIOD`].
     pub period: Milliseconds,
-    /// Requests that arrived at the gateway during the period, by class.
+    /// Number of requests that arrived at the gateway during the period, by the class's index.
     pub arrived: Vec<u16>,
-    /// What the gateway observed of each site, by the site's index.
+    /// Observations of each site, by the site's index.
     pub sites: Vec<SiteReachability>,
 }
 
 impl SiteLoadReport {
-    /// The longest period that a report can state.
+    /// Maximum period that a report can carry.
     pub const MAX_PERIOD: Milliseconds = Milliseconds(u16::MAX as u64);
 
-    /// Converts a count of the report's period to requests per second.
+    /// Converts a number of requests during the report's period to requests per second.
     fn rate_per_s(&self, count: u16) -> f64 {
         f64::from(count) * MS_PER_S / self.period.0.max(1) as f64
     }
 
-    /// All requests that arrived at the gateway, per second.
+    /// Returns the requests of all classes that arrived at the gateway, per second.
     fn load_per_s(&self) -> f64 {
         self.arrived
             .iter()
@@ -55,22 +56,22 @@
     }
 }
 
-/// A load report, and when it was received.
+/// Load report, with the time at which it was received.
 #[derive(Debug, Clone)]
 struct ReceivedReport {
     received_at: Timestamp,
     report: SiteLoadReport,
 }
 
-/// The latest load report of each gateway.
+/// Latest load report of each gateway.
 #[derive(Debug, Clone, Default)]
 pub struct SiteLoadReports {
     by_gateway: BTreeMap<GatewayId, ReceivedReport>,
 }
 
 impl SiteLoadReports {
-    /// Records the report of a gateway, in place of its earlier one. A report that covers no time
-    /// is ignored.
+    /// Records the report of a gateway, in place of its earlier one. A report with a period of zero
+    /// is ignored, because no rate can be computed from it.
     pub fn record(&mut self, now: Timestamp, gateway: GatewayId, report: SiteLoadReport) {
         if report.period > Milliseconds::ZERO {
             let received = ReceivedReport {
@@ -87,14 +88,14 @@
             .retain(|_, received| received.received_at >= time);
     }
 
-    /// The number of gateways that have a report.
+    /// Returns the number of gateways for which there is a report.
     #[must_use]
     pub fn gateway_count(&self) -> usize {
         self.by_gateway.len()
     }
 
-    /// What all gateways together observe of each site. `capacities_per_s` are the capacities of
-    /// the sites with warm hosts.
+    /// Returns the observation of each site, summed over all gateways. `capacities_per_s` contains
+    /// the capacity of each site when none of its hosts is in slow start.
     #[must_use]
     pub fn observe_sites(&self, capacities_per_s: &[f64]) -> Vec<SiteObservation> {
         let sites = capacities_per_s.iter().enumerate();
@@ -121,7 +122,8 @@
         }
     }
 
-    /// The requests per second of each class over all gateways, for this many classes.
+    /// Returns the requests per second of each of the first `class_count` classes, summed over all
+    /// gateways.
     #[must_use]
     pub fn class_rates(&self, class_count: usize) -> Vec<f64> {
         (0..class_count)
--- a/crates/site-failover/src/planner.rs
+++ b/crates/site-failover/src/planner.rs
@@ -1,16 +1,16 @@
-//! Makes failover plans, on the one gateway that holds the lease for it.
+//! The planner, which makes failover plans on the gateway that holds the lease for planning.
 
 use crate::site_tracker::SiteTracker;
 use crate::{ClassIndex, Plan, PlanVersion, Settings, SettingsError};
 use crate::{SiteIndex, SiteObservation, SitePlan, SiteState};
 use irisrouter_cluster_types::{Epoch, Milliseconds, Timestamp};
 
-/// A site whose state changed.
+/// Change of the state of a site.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SiteStateChange {
-    /// The site.
+    /// Site whose state changed.
     pub site: SiteIndex,
-    /// Its new state.
+    /// New state of the site.
     pub state: SiteState,
 }
 
@@ -20,12 +20,12 @@
     settings: Settings,
     sites: Vec<SiteTracker>,
     last_observed_at: Option<Timestamp>,
-    /// The sequence number of the last plan.
+    /// Sequence number of the last plan.
     sequence: u32,
 }
 
 impl Planner {
-    /// A planner that has observed nothing and takes all sites to be up.
+    /// Creates a planner that has made no observations and assumes that all sites are up.
     ///
     /// # Errors
     /// The settings do not pass [`Settings::check`].
@@ -39,22 +39,23 @@
         })
     }
 
-    /// Continues from a plan that another gateway made. When the lease changes hands, the states of
-    /// the sites are carried over: a recovering site must not be taken for one that is up and warm.
+    /// Continues from a plan that another gateway made: the states of the sites are carried over
+    /// when the lease moves to this gateway. Otherwise a recovering site would be treated as up,
+    /// and would get its full load while its hosts are still in slow start.
     pub fn resume(&mut self, plan: &Plan) {
         for (tracker, site_plan) in self.sites.iter_mut().zip(&plan.sites) {
             tracker.resume(site_plan.state);
         }
     }
 
-    /// The state of a site; none where there is no such site.
+    /// Returns the state of a site; `None` if there is no such site.
     #[must_use]
     pub fn state(&self, site: SiteIndex) -> Option<SiteState> {
         self.sites.get(site.0).map(SiteTracker::state)
     }
 
-    /// Records what is observed now of each site, by the site's index. Returns the sites whose
-    /// state changed.
+    /// Records the current observation of each site, by the site's index. Returns the changes of
+    /// state that result.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -75,11 +76,11 @@
         changes
     }
 
-    /// Makes the plan for the latest observations.
+    /// Makes the next plan from the latest observations.
     ///
-    /// `epoch` is the fencing epoch of the lease under which this gateway plans. `class_rates` are
-    /// the requests per second of each class over all sites. `gateway_count` is the number of
-    /// gateways that share the budgets.
+    /// `epoch` is the fencing epoch of the lease that this gateway holds. `class_rates` contains
+    /// the requests per second of each class, summed over all sites. `gateway_count` is the number
+    /// of gateways that share the budgets.
     pub fn next_plan(&mut self, epoch: Epoch, class_rates: &[f64], gateway_count: u32) -> Plan {
         self.sequence = self.sequence.wrapping_add(1);
         let budgets: Vec<f64> = self
@@ -88,7 +89,7 @@
             .map(|site| site.budget_per_s(&self.settings))
             .collect();
         let distributions = self.distribute_load(&budgets);
-        let excess_per_s = self.excess_per_s(&distributions);
+        let unplaced_load_per_s = self.unplaced_load_per_s(&distributions);
         Plan {
             version: PlanVersion {
                 epoch,
@@ -96,12 +97,12 @@
             },
             gateway_count: gateway_count.max(1),
             sites: self.site_plans(budgets, distributions),
-            admitted_share: self.shed_load(class_rates, excess_per_s),
+            admitted_share: self.shed_load(class_rates, unplaced_load_per_s),
             retry_after: self.retry_after(),
         }
     }
 
-    /// The plan of each site, from its budget and the shares of its load that go to each site.
+    /// Builds the part of the plan for each site from its budget and the distribution of its load.
     fn site_plans(&self, budgets: Vec<f64>, distributions: Vec<Vec<f64>>) -> Vec<SitePlan> {
         let sites = self.sites.iter().zip(budgets).zip(distributions);
         sites
@@ -118,16 +119,16 @@
         self.sites.iter().all(SiteTracker::is_up)
     }
 
-    /// For each site, the shares of its load that go to each site.
+    /// Returns for each site the distribution of its load: the share that each site serves.
     fn distribute_load(&self, budgets: &[f64]) -> Vec<Vec<f64>> {
         let mut distributions = vec![vec![0.0; self.sites.len()]; self.sites.len()];
         let mut remaining = budgets.to_vec();
         let all_up = self.all_up();
-        // Each site first serves what it can of its own load; only what is left of its budget goes
-        // to other sites.
+        // Each site first serves its own load, as far as its budget allows. Only the rest of its
+        // budget is available to the load of other sites.
         for (site, tracker) in self.sites.iter().enumerate() {
             let load = tracker.load_per_s();
-            // While all sites are up a plan changes nothing, however busy they are.
+            // While all sites are up a plan has no effect, even if a site is overloaded.
             if all_up || load <= 0.0 {
                 distributions[site][site] = 1.0;
                 continue;
@@ -144,8 +145,8 @@
         distributions
     }
 
-    /// Assigns the load that a site can't serve itself to the other sites, in order of preference,
-    /// as far as they have budget left.
+    /// Assigns the load that exceeds a site's own budget to the other sites, in order of preference
+    /// and as far as their remaining budgets allow.
     fn distribute_overflow(
         &self,
         site: SiteIndex,
@@ -169,8 +170,9 @@
         }
     }
 
-    /// The load that no site has budget for, in requests per second; none while all sites are up.
-    fn excess_per_s(&self, distributions: &[Vec<f64>]) -> f64 {
+    /// Returns the load that exceeds the budgets of all sites, in requests per second; 0 while all
+    /// sites are up.
+    fn unplaced_load_per_s(&self, distributions: &[Vec<f64>]) -> f64 {
         if self.all_up() {
             return 0.0;
         }
@@ -184,11 +186,12 @@
         (load - placed).max(0.0)
     }
 
-    /// The admitted share of each class where `excess_per_s` has to be shed: all of the first class
-    /// in the load-shedding order before any of the second.
-    fn shed_load(&self, class_rates: &[f64], excess_per_s: f64) -> Vec<f64> {
+    /// Returns the admitted share of each class if `unplaced_load_per_s` has to be shed. Classes
+    /// are shed in the load-shedding order: a class is shed only after all earlier classes are shed
+    /// completely.
+    fn shed_load(&self, class_rates: &[f64], unplaced_load_per_s: f64) -> Vec<f64> {
         let mut admitted_share = vec![1.0; class_rates.len()];
-        let mut remaining = excess_per_s;
+        let mut remaining = unplaced_load_per_s;
         for &ClassIndex(class) in &self.settings.load_shedding_order {
             let Some(&rate) = class_rates.get(class).filter(|&&rate| rate > 0.0) else {
                 continue;
@@ -200,15 +203,20 @@
         admitted_share
     }
 
-    /// Rejected clients are to retry when more can be served: soon while a site recovers, later
-    /// while one is lost.
+    /// Returns the minimum retry delay of rejected clients: the longer of `lost_after` and
+    /// `recovering_after`, or twice that time while a site is lost. Clients should retry when more
+    /// capacity is available, which takes longer while a site is lost than while it recovers.
     fn retry_after(&self) -> Milliseconds {
-        let longest = self.settings.lost_after.max(self.settings.recovering_after);
+        let confirmation_time = self.settings.lost_after.max(self.settings.recovering_after);
         let any_lost = self
             .sites
             .iter()
             .any(|site| site.state() == SiteState::Lost);
-        let retry_after = if any_lost { longest * 2 } else { longest };
+        let retry_after = if any_lost {
+            confirmation_time * 2
+        } else {
+            confirmation_time
+        };
         retry_after.min(Plan::MAX_RETRY_AFTER)
     }
 }
--- a/crates/site-failover/src/settings.rs
+++ b/crates/site-failover/src/settings.rs
@@ -1,41 +1,46 @@
-//! The operators' settings of site failover, and their checks.
+//! Settings of site failover, which operators configure, and their validation.
 
 use crate::{ClassIndex, SiteIndex, MAX_CLASSES, MAX_SITES};
 use irisrouter_cluster_types::Milliseconds;
 use thiserror::Error;
 
-/// The operators' settings.
+/// Settings of site failover.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// For each site, by its index, the sites that take its load, in order of preference. Sites
-    /// that are not named come last, by index.
+    /// For each site, by its index, the sites that take over its load, in order of preference.
+    /// Sites that are not listed come last, in ascending order of their indexes.
     pub preferred_sites: Vec<Vec<SiteIndex>>,
-    /// Classes in the order in which they are shed. A plan never sheds a class that is not named.
+    /// Classes in the order in which they are shed. A plan never sheds a class that is not listed.
     pub load_shedding_order: Vec<ClassIndex>,
-    /// Share of a site's capacity that a plan assigns, 0 to 1. The rest is a reserve for load that
-    /// the plan does not foresee.
+    /// Share of a site's capacity that a plan may assign, 0 to 1. The rest is a reserve for load
+    /// that the plan does not anticipate.
     pub capacity_share: f64,
-    /// A site is lost once at least this share of its hosts, 0 to 1, has been silent for
-    /// `lost_after`.
+    /// Share of a site's hosts, 0 to 1, that have to be silent for the site to be lost. The site is
+    /// lost once at least this share has been silent for `lost_after`.
     pub lost_host_share: f64,
-    /// How long that share of its hosts has to be silent.
+    /// Time for which at least `lost_host_share` of a site's hosts has to be silent before the site
+    /// is lost.
     pub lost_after: Milliseconds,
-    /// A lost site is recovering once less than half of `lost_host_share` has been silent for this
-    /// time. The two thresholds differ so that a site does not flap between the states.
+    /// Time for which the share of silent hosts has to be below half of `lost_host_share` before a
+    /// lost site is recovering. The two thresholds differ so that a site does not flap between the
+    /// states.
     pub recovering_after: Milliseconds,
-    /// A recovering site begins with this share of its capacity, 0 to 1.
+    /// Share of its capacity, 0 to 1, with which a recovering site starts.
     pub recovery_ramp_start: f64,
-    /// The length of the recovery ramp. Only the time during which the site's hosts answer counts.
+    /// Duration of the recovery ramp. Time during which too few of the site's requests are answered
+    /// (see `recovery_min_answered_share`) does not count.
     pub recovery_ramp_duration: Milliseconds,
-    /// Share of its requests, 0 to 1, that a recovering site has to answer for its ramp to advance.
+    /// Minimum share of its requests, 0 to 1, that a recovering site has to answer for its ramp to
+    /// advance.
     pub recovery_min_answered_share: f64,
-    /// A plan expires this long after it was received; routing then continues as without a plan.
+    /// Time from the receipt of a plan until it expires. Routing then continues as without a plan.
     pub plan_expiry: Milliseconds,
 }
 
 impl Settings {
-    /// The defaults for this number of sites. The recovery ramp follows the platform's figures for
-    /// cold hosts: 0.15 of their capacity at first, all of it after 14 s.
+    /// Returns the default settings for this number of sites. The recovery ramp follows the
+    /// platform's figures for hosts in slow start: 0.15 of their capacity at first, all of it after
+    /// 14 s.
     #[must_use]
     pub fn for_sites(site_count: usize) -> Self {
         Self {
@@ -55,7 +60,7 @@
     /// Checks the settings.
     ///
     /// # Errors
-    /// The first setting that is not valid, by the name that operators know it by.
+    /// The first setting that is not valid, by its key in the operators' file.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_preferred_sites()?;
         self.check_load_shedding_order()?;
@@ -98,7 +103,7 @@
     }
 }
 
-/// Checks that a share is over 0 and at most 1. A value that is not a number fails the check.
+/// Checks that a share is greater than 0 and at most 1. NaN fails the check.
 fn check_share(field: &'static str, share: f64) -> Result<(), SettingsError> {
     if share > 0.0 && share <= 1.0 {
         Ok(())
@@ -107,13 +112,13 @@
     }
 }
 
-/// A setting that is not valid.
+/// Error returned if a setting is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The setting, by its key in the operators' file.
+    /// Key of the setting in the operators' file.
     pub field: &'static str,
-    /// What is wrong with its value.
+    /// Reason why its value is not valid.
     pub reason: InvalidSetting,
 }
 
@@ -123,19 +128,19 @@
     }
 }
 
-/// What is wrong with the value of a setting.
+/// Reason why the value of a setting is not valid.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum InvalidSetting {
-    /// There are no sites, or more than [`MAX_SITES`]. Carries their number.
+    /// There are no sites, or more than [`MAX_SITES`]. Contains the number of sites.
     #[error("1 to {max} sites, not {0}", max = MAX_SITES)]
     SiteCount(usize),
-    /// This site prefers itself, or a site that does not exist.
+    /// The preferred sites of this site include the site itself, or a site that does not exist.
     #[error("site {0} names itself, or one that is not there")]
     PreferredSite(SiteIndex),
-    /// This class is not below [`MAX_CLASSES`].
+    /// The index of this class is not below [`MAX_CLASSES`].
     #[error("class {0} is beyond {max}", max = MAX_CLASSES)]
     UnknownClass(ClassIndex),
-    /// The value is not a share over 0 and at most 1.
+    /// The value is not a share greater than 0 and at most 1.
     #[error("over 0, at most 1")]
     NotAShare,
     /// The value is zero.
--- a/crates/site-failover/src/site_tracker.rs
+++ b/crates/site-failover/src/site_tracker.rs
@@ -1,28 +1,28 @@
-//! The state of one site as the planner judges it: up, lost or recovering, and how far its recovery
-//! ramp has advanced.
+//! Tracker of the state of one site for the planner: whether the site is up, lost or recovering,
+//! and the progress of its recovery ramp.
 
 use crate::{Settings, SiteState};
 use irisrouter_cluster_types::{Milliseconds, Timestamp};
 
-/// What the load reports of all gateways say about a site.
+/// Sums of the load reports of all gateways for one site.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SiteObservation {
-    /// The site's hosts that gateways observed lately. Each gateway counts its own observations, so
-    /// this is a sum over gateways.
+    /// Number of the site's hosts with a recent result, summed over all gateways: a host that two
+    /// gateways observe counts twice.
     pub hosts: u32,
-    /// Of those, the silent ones.
+    /// Number of silent hosts among `hosts`, summed in the same way.
     pub silent_hosts: u32,
-    /// What the site's hosts bear when warm, in requests per second.
+    /// Capacity of the site's hosts when none of them is in slow start, in requests per second.
     pub capacity_per_s: f64,
-    /// The site's own load, in requests per second: what arrives at the site's gateways, wherever
-    /// it is served now.
+    /// The site's own load, in requests per second: the requests that arrive at the site's
+    /// gateways, whichever site serves them.
     pub load_per_s: f64,
-    /// The share of the requests sent to the site that its hosts answered, 0 to 1.
+    /// Share of the requests sent to the site that its hosts answered, 0 to 1; 1 if none was sent.
     pub answered_share: f64,
 }
 
 impl SiteObservation {
-    /// A site of which nothing has been reported yet.
+    /// Observation of a site for which there is no report yet.
     const NONE: Self = Self {
         hosts: 0,
         silent_hosts: 0,
@@ -31,7 +31,7 @@
         answered_share: 1.0,
     };
 
-    /// The share of the hosts that are silent; 0 where no host was reported.
+    /// Returns the share of the hosts that are silent; 0 if no host was reported.
     fn silent_share(&self) -> f64 {
         if self.hosts == 0 {
             0.0
@@ -41,10 +41,10 @@
     }
 }
 
-/// A change of state that the observations call for.
+/// Change of state that the latest observation indicates.
 struct Transition {
     to: SiteState,
-    /// How long the observations have to call for it.
+    /// Time for which the observations have to indicate the change before it takes place.
     after: Milliseconds,
 }
 
@@ -52,15 +52,15 @@
 #[derive(Debug, Clone)]
 pub struct SiteTracker {
     state: SiteState,
-    /// Since when the observations have called for another state.
+    /// Time since which the observations have indicated a change of state; `None` if they do not.
     transition_pending_since: Option<Timestamp>,
-    /// How far the recovery ramp has advanced.
+    /// Time that counts toward `recovery_ramp_duration`.
     ramp_progress: Milliseconds,
     observation: SiteObservation,
 }
 
 impl SiteTracker {
-    /// A site that is up and has not been observed.
+    /// Creates the tracker of a site that is up and has not been observed yet.
     pub const fn new() -> Self {
         Self {
             state: SiteState::Up,
@@ -70,31 +70,31 @@
         }
     }
 
-    /// The state of the site.
+    /// Returns the state of the site.
     pub const fn state(&self) -> SiteState {
         self.state
     }
 
-    /// Whether the site serves normally.
+    /// Returns whether the site is up.
     pub fn is_up(&self) -> bool {
         self.state == SiteState::Up
     }
 
-    /// The site's own load, in requests per second.
+    /// Returns the site's own load, in requests per second.
     pub const fn load_per_s(&self) -> f64 {
         self.observation.load_per_s
     }
 
-    /// Takes the state over from the plan of another planner. A plan does not carry how far the
-    /// ramp has advanced, so a ramp starts over: sending too little load to a cold site is the safe
-    /// side.
+    /// Adopts the state from a plan of another planner. A recovery ramp starts over: a plan
+    /// does not carry the time by which the ramp has advanced, and too little load for a recovering
+    /// site is safer than too much.
     pub fn resume(&mut self, state: SiteState) {
         self.state = state;
         self.ramp_progress = Milliseconds::ZERO;
     }
 
-    /// Records an observation made `elapsed` after the one before. Returns the new state if the
-    /// state changed.
+    /// Records an observation that was made `elapsed` after the previous one. Returns the new state
+    /// if the state changed.
     pub fn observe(
         &mut self,
         now: Timestamp,
@@ -107,7 +107,7 @@
             .or_else(|| self.advance_ramp(elapsed, settings))
     }
 
-    /// Changes the state once the observations have called for another one long enough.
+    /// Changes the state once the observations have indicated the change for the required time.
     fn confirm_transition(&mut self, now: Timestamp, settings: &Settings) -> Option<SiteState> {
         let Some(transition) = self.indicated_transition(settings) else {
             self.transition_pending_since = None;
@@ -123,7 +123,7 @@
         Some(transition.to)
     }
 
-    /// The transition that the latest observation calls for.
+    /// Returns the transition that the latest observation indicates.
     fn indicated_transition(&self, settings: &Settings) -> Option<Transition> {
         let silent_share = self.observation.silent_share();
         match self.state {
@@ -142,11 +142,13 @@
     }
 
     /// Advances the recovery ramp; at its end the site is up. The ramp advances only while the site
-    /// answers what it is sent, and not while the observations call for it to be lost again.
+    /// answers at least `recovery_min_answered_share` of its requests, and not while the
+    /// observations indicate that it is lost again.
     fn advance_ramp(&mut self, elapsed: Milliseconds, settings: &Settings) -> Option<SiteState> {
-        let recovering = self.state == SiteState::Recovering;
-        let answers = self.observation.answered_share >= settings.recovery_min_answered_share;
-        if !recovering || !answers || self.transition_pending_since.is_some() {
+        let is_recovering = self.state == SiteState::Recovering;
+        let answers_enough =
+            self.observation.answered_share >= settings.recovery_min_answered_share;
+        if !is_recovering || !answers_enough || self.transition_pending_since.is_some() {
             return None;
         }
         let progress = self.ramp_progress + elapsed;
@@ -158,13 +160,13 @@
         Some(SiteState::Up)
     }
 
-    /// The share of their usual reads that the site's hosts take.
+    /// Returns the share of their usual reads that the site's hosts take, 0 to 1.
     pub fn recovery_ramp(&self, settings: &Settings) -> f64 {
         let start = settings.recovery_ramp_start;
         match self.state {
             SiteState::Up => 1.0,
-            // Hosts that are back before the planner has seen them begin at the start of the ramp,
-            // too.
+            // Hosts that answer again before the planner has observed it also start at the
+            // beginning of the ramp.
             SiteState::Lost => start,
             SiteState::Recovering => {
                 let progress_ms = self.ramp_progress.0 as f64;
@@ -174,8 +176,8 @@
         }
     }
 
-    /// The load that all gateways together may send to the site, in requests per second; none while
-    /// it is lost.
+    /// Returns the maximum load that all gateways together may send to the site, in requests per
+    /// second; 0 while the site is lost.
     pub fn budget_per_s(&self, settings: &Settings) -> f64 {
         let ramp = if self.state == SiteState::Lost {
             0.0
