--- a/crates/drain-coordination/src/command_log.rs
+++ b/crates/drain-coordination/src/command_log.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Current command for each host, by host.
+/// Current commands and their progress, by host.
 #[derive(Default)]
 pub(crate) struct CommandLog {
     by_host: BTreeMap<HostId, CommandState>,
--- a/crates/drain-coordination/src/coordinator.rs
+++ b/crates/drain-coordination/src/coordinator.rs
@@ -63,7 +63,7 @@
     /// [`Settings::replication_timeout`] has elapsed.
     ///
     /// # Errors
-    /// [`CommandLogError::Full`] if too many commands for other hosts are not complete yet.
+    /// [`CommandLogError::Full`] if the log is full of commands for other hosts that still need a coordinator.
     pub fn issue(
         &mut self,
         now: Timestamp,
--- a/crates/drain-coordination/src/lib.rs
+++ b/crates/drain-coordination/src/lib.rs
@@ -39,8 +39,8 @@
 
 use irisrouter_cluster_types::{HostId, TaskId};
 
-/// Upper 32 bits of the task id of every drain ("DRAI" in ASCII). They place these ids above the number of any database
-/// group, which a platform assigns, so that the two kinds of task ids never collide.
+/// Upper 32 bits of the task id of every drain ("DRAI" in ASCII). Task ids with these bits are greater than the number
+/// of any database group that a platform assigns, so that the task ids of drains and groups never collide.
 const TASK_ID_BASE: u64 = 0x4452_4149_0000_0000;
 
 /// Returns the id of the leased task whose lease holder coordinates the drains of this host.
--- a/crates/site-failover/src/lib.rs
+++ b/crates/site-failover/src/lib.rs
@@ -14,9 +14,9 @@
 //!    isolated by a network partition continues to follow that plan until it expires, and makes no
 //!    plan from its partial view.
 //!
-//! Loads and capacities are in requests per second, where a request stands for the mean work of a
-//! request. The package does no I/O and reads no clock. It supplies inputs to the routing policy
-//! and does not choose hosts itself.
+//! Loads and capacities are in requests per second, for requests that cause the mean amount of
+//! work. The package does no I/O and reads no clock. It supplies inputs to the routing policy and
+//! does not choose hosts itself.
 
 #![forbid(unsafe_code)]
 
@@ -40,8 +40,8 @@
 use irisrouter_cluster_types::TaskId;
 
 /// Id of the leased task whose lease holder is the planner (the upper 32 bits are "SITE" in ASCII).
-/// It is above the number of any database group, which a platform assigns, so that the two kinds of
-/// task ids never collide.
+/// It is greater than the number of any database group that a platform assigns, so that it never
+/// collides with the task id of a group.
 pub const TASK_ID: TaskId = TaskId(0x5349_5445_0000_0000);
 
 /// Maximum number of sites in a plan, so that a plan fits into one datagram.
--- a/crates/site-failover/src/plan.rs
+++ b/crates/site-failover/src/plan.rs
@@ -33,7 +33,7 @@
     /// State of the site.
     pub state: SiteState,
     /// Position on the recovery ramp: the share of their usual reads that the site's hosts take, 0
-    /// to 1. It is 1 while the site is up, and the start of the ramp while the site is lost.
+    /// to 1. It is 1 while the site is up, and `recovery_ramp_start` while it is lost.
     pub recovery_ramp: f64,
     /// Distribution of the site's own load: the share that each site serves, by the sites' indexes
     /// and including this site. The shares add up to at most 1; the remainder is shed.
--- a/crates/site-failover/src/site_tracker.rs
+++ b/crates/site-failover/src/site_tracker.rs
@@ -54,7 +54,7 @@
     state: SiteState,
     /// Time since which the observations have indicated a change of state; `None` if they do not.
     transition_pending_since: Option<Timestamp>,
-    /// Time that counts toward `recovery_ramp_duration`.
+    /// Time by which the recovery ramp has advanced, at most `recovery_ramp_duration`.
     ramp_progress: Milliseconds,
     observation: SiteObservation,
 }
--- a/crates/site-failover/tests/codec.rs
+++ b/crates/site-failover/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec for arbitrary values and arbitrary bytes.
+//! Property tests of the codec with arbitrary values and arbitrary bytes.
 
 use irisrouter_cluster_types::Milliseconds;
 use irisrouter_site_failover::codec::{self, Message};
--- a/crates/site-failover/tests/common/mod.rs
+++ b/crates/site-failover/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Observations and settings that the tests share.
+//! Observations and settings shared by the tests.
 
 use irisrouter_cluster_types::{Milliseconds, Timestamp};
 use irisrouter_site_failover::{
     ClassIndex, Planner, Settings, SiteIndex, SiteObservation, SiteStateChange,
 };
 
-/// Ten hosts that all answer.
+/// Returns the observation of a site with ten hosts, all of which answer.
 pub fn up(capacity_per_s: f64, load_per_s: f64) -> SiteObservation {
     SiteObservation {
         hosts: 10,
@@ -16,16 +16,16 @@
     }
 }
 
-/// The same site with all its hosts silent.
-pub fn silent(observation: SiteObservation) -> SiteObservation {
+/// Returns the same observation with all ten hosts silent.
+pub fn with_silent_hosts(observation: SiteObservation) -> SiteObservation {
     SiteObservation {
         silent_hosts: 10,
         ..observation
     }
 }
 
-/// Three sites; site 0 prefers site 2. Classes: 0 reports, 1 page reads, 2 writes, which are never
-/// shed.
+/// Returns settings for three sites, of which site 0 prefers site 2. The classes are 0 for reports,
+/// 1 for page reads and 2 for writes; writes are never shed.
 pub fn settings() -> Settings {
     Settings {
         preferred_sites: vec![vec![SiteIndex(2)], vec![], vec![]],
@@ -35,20 +35,21 @@
     }
 }
 
-/// The time between two observations, in milliseconds.
+/// Time between two observations, in milliseconds.
 const OBSERVATION_INTERVAL_MS: u64 = 100;
 
-/// Observes the same every 100 ms, at `from` and for `length` after it.
+/// Records the same observations every 100 ms from `start` to `start + duration`. Returns all
+/// changes of state.
 pub fn observe_for(
     planner: &mut Planner,
-    from: Timestamp,
-    length: Milliseconds,
+    start: Timestamp,
+    duration: Milliseconds,
     observations: &[SiteObservation],
 ) -> Vec<SiteStateChange> {
-    (0..=length.0 / OBSERVATION_INTERVAL_MS)
+    (0..=duration.0 / OBSERVATION_INTERVAL_MS)
         .flat_map(|step| {
             let elapsed = Milliseconds(step * OBSERVATION_INTERVAL_MS);
-            planner.observe(from + elapsed, observations)
+            planner.observe(start + elapsed, observations)
         })
         .collect()
 }
--- a/crates/site-failover/tests/follower.rs
+++ b/crates/site-failover/tests/follower.rs
@@ -1,21 +1,25 @@
-//! The follower: which plan a gateway follows, and for how long.
+//! Tests of the follower: which plan a gateway follows, and until when.
 
 mod common;
 
-use common::{observe_for, settings, silent, up};
+use common::{observe_for, settings, up, with_silent_hosts};
 use irisrouter_cluster_types::{Epoch, Milliseconds, Timestamp};
 use irisrouter_site_failover::{
     Admission, ClassIndex, Follower, Plan, PlanVersion, Planner, SiteIndex,
 };
 
-/// The class that the settings shed first.
+/// Class that the settings shed first.
 const REPORTS: ClassIndex = ClassIndex(0);
 
 #[test]
-fn follower_follows_the_latest_plan_until_it_expires_when_cut_off() {
+fn follower_follows_the_latest_plan_until_it_expires_when_no_further_plan_arrives() {
     let settings = settings();
     let mut planner = Planner::new(settings.clone()).expect("settings");
-    let observations = [silent(up(100.0, 60.0)), up(100.0, 60.0), up(100.0, 60.0)];
+    let observations = [
+        with_silent_hosts(up(100.0, 60.0)),
+        up(100.0, 60.0),
+        up(100.0, 60.0),
+    ];
     observe_for(
         &mut planner,
         Timestamp::from_millis(0),
--- a/crates/site-failover/tests/golden.rs
+++ b/crates/site-failover/tests/golden.rs
@@ -1,16 +1,16 @@
-//! Golden tests of the datagrams that carry failover plans, and the load reports of which they are
+//! Golden tests of the datagrams that carry failover plans, and load reports, from which plans are
 //! made.
 //!
-//! Pinned are the exact bytes of plans and load reports, how numbers are rounded and clamped, what
-//! the decoder returns for these bytes and for malformed ones, and the task id of the planning. A
-//! fleet is upgraded one gateway at a time, so gateways of the old and the new version exchange
-//! these datagrams with each other and have to agree on who plans: a change of a single byte or of
-//! the task id would make them follow different plans and send a site more load than it bears. A
-//! refactoring must leave every literal in this file as it is; an intended change of the format
-//! needs a new first byte.
+//! The tests pin the exact bytes of plans and load reports, the rounding and clamping of numbers,
+//! the results of decoding these bytes and malformed ones, and the task id of the planning. A fleet
+//! is upgraded one gateway at a time, so gateways of the old and the new version exchange these
+//! datagrams, and have to agree on the planner: after a change of a single byte or of the task id
+//! they would follow different plans and send a site more load than its capacity. A refactoring
+//! must leave every literal in this file unchanged; an intended change of the format needs a new
+//! first byte.
 //!
-//! Literals are groups of hex digits, one group for each field of the layout; white space between
-//! them is ignored.
+//! Expected bytes are written as groups of hex digits, one group per field of the layout; white
+//! space is ignored.
 
 use irisrouter_cluster_types::{Epoch, Milliseconds, TaskId};
 use irisrouter_site_failover::codec::{
@@ -25,9 +25,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: all plans and load reports that are pinned here are built in this part of the file.
+// Test values: all pinned plans and load reports are built in this section.
 
-/// The share that is encoded as this number, and decoded from it.
+/// Returns the share whose encoded value is `units`.
 fn share(units: u16) -> f64 {
     f64::from(units) / 65_535.0
 }
@@ -59,7 +59,8 @@
     }
 }
 
-/// One site of each state, with budgets of 1,500.25, 0 and 70,000.5 a second.
+/// Builds a plan with one site of each state, and budgets of 1,500.25, 0 and 70,000.5 requests per
+/// second.
 fn plan_of_three_sites() -> Plan {
     let sites = vec![
         site(
@@ -84,7 +85,7 @@
     plan(sites, &[share(0x8182), share(0x8384)])
 }
 
-/// One site with these values, and one class.
+/// Builds a plan with one recovering site that has these values, and one class.
 fn plan_with(budget: f64, ramp: f64, load_share: f64, admitted: f64) -> Plan {
     plan(
         vec![site(SiteState::Recovering, budget, ramp, &[load_share])],
@@ -92,7 +93,7 @@
     )
 }
 
-fn plan_of_nothing() -> Plan {
+fn empty_plan() -> Plan {
     plan(Vec::new(), &[])
 }
 
@@ -108,17 +109,18 @@
     }
 }
 
-/// Sites and classes that differ in every number; each site's load goes to `targets` sites.
-fn plan_of_many(sites: u16, classes: u16, targets: u16) -> Plan {
+/// Builds a plan whose sites and classes differ in every number. Each site's load is distributed to
+/// `targets` sites.
+fn distinct_plan(sites: u16, classes: u16, targets: u16) -> Plan {
     let states = [SiteState::Up, SiteState::Lost, SiteState::Recovering];
-    let one = |n: u16| SitePlan {
+    let site_plan = |n: u16| SitePlan {
         budget_per_s: f64::from(1_000 + n),
         state: states[usize::from(n) % states.len()],
         recovery_ramp: share(0x8000 + n),
         load_distribution: (0..targets).map(|to| share(0x0100 + 16 * n + to)).collect(),
     };
     let admitted: Vec<f64> = (0..classes).map(|class| share(0xf000 + class)).collect();
-    plan((0..sites).map(one).collect(), &admitted)
+    plan((0..sites).map(site_plan).collect(), &admitted)
 }
 
 fn load_report() -> SiteLoadReport {
@@ -143,7 +145,7 @@
     }
 }
 
-fn load_report_of_nothing() -> SiteLoadReport {
+fn empty_load_report() -> SiteLoadReport {
     SiteLoadReport {
         site: SiteIndex(0),
         period: Milliseconds(1),
@@ -153,7 +155,7 @@
 }
 
 fn load_report_with_largest_numbers() -> SiteLoadReport {
-    let all = SiteReachability {
+    let largest = SiteReachability {
         hosts: u16::MAX,
         silent: u16::MAX,
         sent: u16::MAX,
@@ -163,13 +165,13 @@
         site: SiteIndex(7),
         period: Milliseconds(u64::from(u16::MAX)),
         arrived: vec![u16::MAX],
-        sites: vec![all],
+        sites: vec![largest],
     }
 }
 
-/// Sites and classes that differ in every number.
-fn load_report_of_many(sites: u16, classes: u16) -> SiteLoadReport {
-    let reach = |n| SiteReachability {
+/// Builds a load report whose sites and classes differ in every number.
+fn distinct_load_report(sites: u16, classes: u16) -> SiteLoadReport {
+    let reachability = |n| SiteReachability {
         hosts: 0x1100 + n,
         silent: 0x1200 + n,
         sent: 0x1300 + n,
@@ -179,22 +181,23 @@
         site: SiteIndex(7),
         period: Milliseconds(0x0102),
         arrived: (0..classes).map(|class| 0x2100 + class).collect(),
-        sites: (0..sites).map(reach).collect(),
+        sites: (0..sites).map(reachability).collect(),
     }
 }
 
 // Helpers.
 
-fn literal(expected: &str) -> String {
+fn without_whitespace(expected: &str) -> String {
     expected.split_whitespace().collect()
 }
 
-/// A plan has these bytes, and is decoded as `read`.
+/// Asserts that a plan is encoded as the `expected` hex digits, and that the bytes are decoded as
+/// `decoded`.
 #[track_caller]
-fn assert_plan_bytes_and_decoded(plan: &Plan, expected: &str, read: &Plan) {
+fn assert_plan_bytes_and_decoded(plan: &Plan, expected: &str, decoded: &Plan) {
     let bytes = encode_plan(plan);
-    assert_eq!(hex(&bytes), literal(expected));
-    assert_eq!(decode(&bytes), Ok(Message::Plan(read.clone())));
+    assert_eq!(hex(&bytes), without_whitespace(expected));
+    assert_eq!(decode(&bytes), Ok(Message::Plan(decoded.clone())));
 }
 
 #[track_caller]
@@ -202,16 +205,17 @@
     assert_plan_bytes_and_decoded(plan, expected, plan);
 }
 
-/// A load report has these bytes, and is decoded as `read`.
+/// Asserts that a load report is encoded as the `expected` hex digits, and that the bytes are
+/// decoded as `decoded`.
 #[track_caller]
 fn assert_load_report_bytes_and_decoded(
     report: &SiteLoadReport,
     expected: &str,
-    read: &SiteLoadReport,
+    decoded: &SiteLoadReport,
 ) {
     let bytes = encode_load_report(report);
-    assert_eq!(hex(&bytes), literal(expected));
-    assert_eq!(decode(&bytes), Ok(Message::SiteLoadReport(read.clone())));
+    assert_eq!(hex(&bytes), without_whitespace(expected));
+    assert_eq!(decode(&bytes), Ok(Message::SiteLoadReport(decoded.clone())));
 }
 
 #[track_caller]
@@ -230,20 +234,20 @@
     );
 }
 
-/// The bytes with another value at a place.
-fn changed(mut bytes: Vec<u8>, at: usize, value: u8) -> Vec<u8> {
+/// Returns the bytes with the byte at offset `at` replaced by `value`.
+fn with_byte(mut bytes: Vec<u8>, at: usize, value: u8) -> Vec<u8> {
     bytes[at] = value;
     bytes
 }
 
-fn both() -> [Vec<u8>; 2] {
+fn valid_datagrams() -> [Vec<u8>; 2] {
     [
         encode_plan(&plan_of_three_sites()),
         encode_load_report(&load_report()),
     ]
 }
 
-// The bytes of plans.
+// Encoded plans.
 
 #[test]
 fn bounds_and_first_byte_keep_their_values() {
@@ -268,7 +272,7 @@
 #[test]
 fn plan_without_sites_and_classes_keeps_its_bytes() {
     assert_plan_bytes(
-        &plan_of_nothing(),
+        &empty_plan(),
         "d2 00 0102030405060708 11121314 21222324 31323334 00 00",
     );
 }
@@ -288,7 +292,7 @@
         "d2 00 0102030405060708 11121314 21222324 31323334 01 01  02 0012d687 2666 5555  fffe",
         &plan_with(1_234.567, share(0x2666), share(0x5555), share(0xfffe)),
     );
-    // In binary floating point this budget is a little less than 1.001.
+    // In binary floating point this budget is slightly less than 1.001, so it is rounded down to 1.
     assert_plan_bytes_and_decoded(
         &plan_with(1.001, 0.5, 0.5, 0.85),
         "d2 00 0102030405060708 11121314 21222324 31323334 01 01  02 000003e8 7fff 7fff  d998",
@@ -323,27 +327,28 @@
         )
     };
     assert_plan_bytes_and_decoded(
-        &plan_of_many(2, 0, 1),
+        &distinct_plan(2, 0, 1),
         &(expected_of("0100 0000") + "01 000f4628 8001 0110 0000"),
         &{
-            let mut read = plan_of_many(2, 0, 1);
-            read.sites
+            let mut decoded = distinct_plan(2, 0, 1);
+            decoded
+                .sites
                 .iter_mut()
                 .for_each(|site| site.load_distribution.push(0.0));
-            read
+            decoded
         },
     );
     assert_plan_bytes_and_decoded(
-        &plan_of_many(2, 0, 3),
+        &distinct_plan(2, 0, 3),
         &(expected_of("0100 0101") + "01 000f4628 8001 0110 0111"),
-        &plan_of_many(2, 0, 2),
+        &distinct_plan(2, 0, 2),
     );
 }
 
 #[test]
 fn longest_plan_keeps_its_bytes_and_sites_and_classes_beyond_it_are_left_out() {
     assert_plan_bytes_and_decoded(
-        &plan_of_many(9, 17, 9),
+        &distinct_plan(9, 17, 9),
         "d2 00 0102030405060708 11121314 21222324 31323334 08 10
         00 000f4240 8000 0100 0101 0102 0103 0104 0105 0106 0107
         01 000f4628 8001 0110 0111 0112 0113 0114 0115 0116 0117
@@ -354,11 +359,11 @@
         00 000f59b0 8006 0160 0161 0162 0163 0164 0165 0166 0167
         01 000f5d98 8007 0170 0171 0172 0173 0174 0175 0176 0177
         f000 f001 f002 f003 f004 f005 f006 f007 f008 f009 f00a f00b f00c f00d f00e f00f",
-        &plan_of_many(8, 16, 8),
+        &distinct_plan(8, 16, 8),
     );
 }
 
-// The bytes of load reports.
+// Encoded load reports.
 
 #[test]
 fn load_report_keeps_its_bytes() {
@@ -373,7 +378,7 @@
 
 #[test]
 fn load_report_without_sites_and_classes_keeps_its_bytes() {
-    assert_load_report_bytes(&load_report_of_nothing(), "d2 01 00 0001 00 00");
+    assert_load_report_bytes(&empty_load_report(), "d2 01 00 0001 00 00");
 }
 
 #[test]
@@ -387,7 +392,7 @@
 #[test]
 fn longest_load_report_keeps_its_bytes_and_sites_and_classes_beyond_it_are_left_out() {
     assert_load_report_bytes_and_decoded(
-        &load_report_of_many(9, 17),
+        &distinct_load_report(9, 17),
         "d2 01 07 0102 08 10
         1100 1200 1300 1400
         1101 1201 1301 1401
@@ -398,16 +403,16 @@
         1106 1206 1306 1406
         1107 1207 1307 1407
         2100 2101 2102 2103 2104 2105 2106 2107 2108 2109 210a 210b 210c 210d 210e 210f",
-        &load_report_of_many(8, 16),
+        &distinct_load_report(8, 16),
     );
 }
 
-// What is rejected.
+// Rejected datagrams.
 
-const OF_A_PLAN: &str = "the number of sites, classes or gateways";
-const OF_A_LOAD_REPORT: &str = "the number of sites or classes, the site or the period";
-const TEXT_OF_A_PLAN: &str = "the number of sites, classes or gateways can't be so";
-const TEXT_OF_A_LOAD_REPORT: &str =
+const PLAN_VALUE_FIELDS: &str = "the number of sites, classes or gateways";
+const LOAD_REPORT_VALUE_FIELDS: &str = "the number of sites or classes, the site or the period";
+const PLAN_VALUE_MESSAGE: &str = "the number of sites, classes or gateways can't be so";
+const LOAD_REPORT_VALUE_MESSAGE: &str =
     "the number of sites or classes, the site or the period can't be so";
 
 #[test]
@@ -422,15 +427,15 @@
         WireError::Version(0xd1),
         "first byte 0xd1 is of another kind or version",
     );
-    for bytes in both() {
+    for bytes in valid_datagrams() {
         let text = "first byte 0xc1 is of another kind or version";
-        assert_rejected(&changed(bytes, 0, 0xc1), WireError::Version(0xc1), text);
+        assert_rejected(&with_byte(bytes, 0, 0xc1), WireError::Version(0xc1), text);
     }
 }
 
 #[test]
 fn datagram_of_either_kind_cut_anywhere_is_rejected_as_short() {
-    for bytes in both() {
+    for bytes in valid_datagrams() {
         for end in 0..bytes.len() {
             assert_rejected(
                 &bytes[..end],
@@ -444,17 +449,17 @@
 #[test]
 fn trailing_bytes_are_rejected_as_long() {
     let text = "the datagram is longer than what it says";
-    for bytes in both() {
+    for bytes in valid_datagrams() {
         assert_rejected(&[&bytes[..], &[0]].concat(), WireError::Long, text);
         assert_rejected(&[&bytes[..], &[0; 200]].concat(), WireError::Long, text);
     }
     assert_rejected(
-        &[encode_plan(&plan_of_many(8, 16, 8)), vec![0]].concat(),
+        &[encode_plan(&distinct_plan(8, 16, 8)), vec![0]].concat(),
         WireError::Long,
         text,
     );
     assert_rejected(
-        &[encode_load_report(&load_report_of_many(8, 16)), vec![0]].concat(),
+        &[encode_load_report(&distinct_load_report(8, 16)), vec![0]].concat(),
         WireError::Long,
         text,
     );
@@ -462,14 +467,14 @@
 
 #[test]
 fn unknown_kind_is_rejected_with_its_number() {
-    for bytes in both() {
+    for bytes in valid_datagrams() {
         assert_rejected(
-            &changed(bytes.clone(), 1, 2),
+            &with_byte(bytes.clone(), 1, 2),
             WireError::Unknown("kind", 2),
             "unknown kind 2",
         );
         assert_rejected(
-            &changed(bytes, 1, 255),
+            &with_byte(bytes, 1, 255),
             WireError::Unknown("kind", 255),
             "unknown kind 255",
         );
@@ -480,12 +485,12 @@
 fn unknown_state_of_a_site_is_rejected_with_its_number() {
     let bytes = encode_plan(&plan_of_three_sites());
     assert_rejected(
-        &changed(bytes.clone(), 24, 3),
+        &with_byte(bytes.clone(), 24, 3),
         WireError::Unknown("state", 3),
         "unknown state 3",
     );
     assert_rejected(
-        &changed(bytes, 24, 255),
+        &with_byte(bytes, 24, 255),
         WireError::Unknown("state", 255),
         "unknown state 255",
     );
@@ -496,9 +501,9 @@
     let bytes = encode_plan(&plan_of_three_sites());
     for (at, value) in [(22, 9), (22, 255), (23, 17), (23, 255)] {
         assert_rejected(
-            &changed(bytes.clone(), at, value),
-            WireError::Value(OF_A_PLAN),
-            TEXT_OF_A_PLAN,
+            &with_byte(bytes.clone(), at, value),
+            WireError::Value(PLAN_VALUE_FIELDS),
+            PLAN_VALUE_MESSAGE,
         );
     }
     let without_gateways = encode_plan(&Plan {
@@ -507,28 +512,28 @@
     });
     assert_rejected(
         &without_gateways,
-        WireError::Value(OF_A_PLAN),
-        TEXT_OF_A_PLAN,
+        WireError::Value(PLAN_VALUE_FIELDS),
+        PLAN_VALUE_MESSAGE,
     );
 }
 
 #[test]
-fn plan_with_allowed_counts_other_than_what_follows_is_rejected() {
+fn plan_with_valid_counts_that_differ_from_its_content_is_rejected() {
     let bytes = encode_plan(&plan_of_three_sites());
     for (at, value) in [(23, 3), (23, 16)] {
         assert_rejected(
-            &changed(bytes.clone(), at, value),
+            &with_byte(bytes.clone(), at, value),
             WireError::Short,
             "the datagram ends inside a field",
         );
     }
     let text = "the datagram is longer than what it says";
-    assert_rejected(&changed(bytes, 23, 1), WireError::Long, text);
+    assert_rejected(&with_byte(bytes, 23, 1), WireError::Long, text);
 }
 
 #[test]
 fn plan_whose_shares_of_a_load_add_up_to_more_than_one_is_rejected_for_its_value() {
-    let of = |units: &[u16]| {
+    let plan_with_shares = |units: &[u16]| {
         let shares: Vec<f64> = units.iter().map(|&units| share(units)).collect();
         encode_plan(&plan(
             vec![
@@ -539,12 +544,12 @@
         ))
     };
     assert!(
-        decode(&of(&[0x7fff, 0x8000])).is_ok(),
+        decode(&plan_with_shares(&[0x7fff, 0x8000])).is_ok(),
         "65,535 of 65,535 units"
     );
     let text = "where a site's load goes can't be so";
     assert_rejected(
-        &of(&[0x8000, 0x8000]),
+        &plan_with_shares(&[0x8000, 0x8000]),
         WireError::Value("where a site's load goes"),
         text,
     );
@@ -555,9 +560,9 @@
     let bytes = encode_load_report(&load_report());
     for (at, value) in [(2, 8), (2, 255), (5, 9), (5, 255), (6, 17), (6, 255)] {
         assert_rejected(
-            &changed(bytes.clone(), at, value),
-            WireError::Value(OF_A_LOAD_REPORT),
-            TEXT_OF_A_LOAD_REPORT,
+            &with_byte(bytes.clone(), at, value),
+            WireError::Value(LOAD_REPORT_VALUE_FIELDS),
+            LOAD_REPORT_VALUE_MESSAGE,
         );
     }
     let without_period = encode_load_report(&SiteLoadReport {
@@ -566,24 +571,24 @@
     });
     assert_rejected(
         &without_period,
-        WireError::Value(OF_A_LOAD_REPORT),
-        TEXT_OF_A_LOAD_REPORT,
+        WireError::Value(LOAD_REPORT_VALUE_FIELDS),
+        LOAD_REPORT_VALUE_MESSAGE,
     );
 }
 
 #[test]
-fn load_report_with_allowed_counts_other_than_what_follows_is_rejected() {
+fn load_report_with_valid_counts_that_differ_from_its_content_is_rejected() {
     let bytes = encode_load_report(&load_report());
     for (at, value) in [(5, 3), (5, 8), (6, 4), (6, 16)] {
         assert_rejected(
-            &changed(bytes.clone(), at, value),
+            &with_byte(bytes.clone(), at, value),
             WireError::Short,
             "the datagram ends inside a field",
         );
     }
     for (at, value) in [(5, 1), (6, 2)] {
         let text = "the datagram is longer than what it says";
-        assert_rejected(&changed(bytes.clone(), at, value), WireError::Long, text);
+        assert_rejected(&with_byte(bytes.clone(), at, value), WireError::Long, text);
     }
 }
 
@@ -593,9 +598,9 @@
     assert!(!recognizes(&[]) && !recognizes(&[0x01, 0xd2]) && !recognizes(&[0xc2]));
 }
 
-// Values on which all gateways agree.
+// Values that have to be the same at all gateways.
 
 #[test]
-fn task_id_of_the_planning_keeps_its_value() {
+fn planning_task_id_keeps_its_value() {
     assert_eq!(TASK_ID, TaskId(0x5349_5445_0000_0000));
 }
--- a/crates/site-failover/tests/load_report.rs
+++ b/crates/site-failover/tests/load_report.rs
@@ -1,4 +1,4 @@
-//! The sums of load reports over all gateways.
+//! Tests of the sums of load reports over all gateways.
 
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp};
 use irisrouter_site_failover::load_report::{SiteLoadReport, SiteLoadReports, SiteReachability};
@@ -22,8 +22,8 @@
     }
 }
 
-/// Two gateways of site 0 and one of site 1 report. Earlier reports of a gateway and reports that
-/// are too old do not count.
+/// Two gateways of site 0 and one of site 1 send reports. A gateway's earlier report, a report
+/// without a period and reports that are too old do not count.
 #[test]
 fn load_reports_add_up_over_gateways_and_only_the_latest_of_each_counts() {
     let mut reports = SiteLoadReports::default();
--- a/crates/site-failover/tests/planner.rs
+++ b/crates/site-failover/tests/planner.rs
@@ -1,8 +1,9 @@
-//! The planner: which sites are lost or recovering, where their load goes, and what is shed.
+//! Tests of the planner: which sites are lost or recovering, which sites take over their load, and
+//! which classes are shed.
 
 mod common;
 
-use common::{observe_for, settings, silent, up};
+use common::{observe_for, settings, up, with_silent_hosts};
 use irisrouter_cluster_types::{Epoch, Milliseconds, Timestamp};
 use irisrouter_site_failover::codec::{self, Message};
 use irisrouter_site_failover::{
@@ -27,7 +28,7 @@
     );
     let plan = planner.next_plan(Epoch(1), &[30.0, 90.0, 60.0], 10);
     assert!(!plan.in_force(), "{plan:?}");
-    let one_lost = [silent(healthy[0]), healthy[1], healthy[2]];
+    let one_lost = [with_silent_hosts(healthy[0]), healthy[1], healthy[2]];
     assert_eq!(
         observe_for(
             &mut planner,
@@ -48,19 +49,19 @@
         [LOST_SITE_0]
     );
     let plan = planner.next_plan(Epoch(1), &[30.0, 90.0, 60.0], 10);
-    // The other two sites have 20 of 80 left each: 40 of 60 find room, at the preferred site 2
-    // first.
+    // The other two sites have 20 of 80 left each: they take over 40 of 60, beginning with the
+    // preferred site 2.
     assert_eq!(plan.sites[0].budget_per_s, 0.0);
     let distribution = &plan.sites[0].load_distribution;
     assert!((distribution[2] - 20.0 / 60.0).abs() < 1e-9);
     assert!((distribution[1] - 20.0 / 60.0).abs() < 1e-9);
-    // 20 are shed: of the reports first, and none of the other classes.
+    // 20 are shed, all of them reports, because reports are shed first.
     assert!(
         (plan.admitted_share[0] - 1.0 / 3.0).abs() < 1e-9,
         "{plan:?}"
     );
     assert_eq!(plan.admitted_share[1..], [1.0, 1.0]);
-    // With fewer reports, all of those and then page reads; never a write.
+    // With fewer reports, all reports are shed and then page reads, but never writes.
     let plan = planner.next_plan(Epoch(1), &[5.0, 30.0, 145.0], 10);
     assert!(plan.admitted_share[0].abs() < 1e-9);
     assert!((plan.admitted_share[1] - 0.5).abs() < 1e-9);
@@ -73,7 +74,7 @@
 fn recovery_ramp_advances_while_the_site_answers_and_restarts_when_it_is_lost_again() {
     let mut planner = Planner::new(settings()).expect("settings");
     let healthy = [up(100.0, 60.0), up(100.0, 60.0), up(100.0, 60.0)];
-    let one_lost = [silent(healthy[0]), healthy[1], healthy[2]];
+    let one_lost = [with_silent_hosts(healthy[0]), healthy[1], healthy[2]];
     observe_for(
         &mut planner,
         Timestamp::from_millis(0),
@@ -102,7 +103,7 @@
         (halfway - 80.0 * (0.15 + 0.85 * 0.5)).abs() < 1.0,
         "{halfway}"
     );
-    // The site stops answering: the ramp does not advance.
+    // The site answers too few requests: the ramp does not advance.
     let failing = SiteObservation {
         answered_share: 0.5,
         ..healthy[0]
@@ -114,7 +115,8 @@
         &[failing, healthy[1], healthy[2]],
     );
     assert!((budget(&mut planner) - halfway).abs() < 1.0);
-    // Half of its hosts being silent is no loss; most of them for a second is.
+    // The site is not lost while half of its hosts are silent, but once all of them have been
+    // silent for a second.
     let half_silent = SiteObservation {
         silent_hosts: 5,
         ..healthy[0]
@@ -140,7 +142,7 @@
     );
     assert!(
         (budget(&mut planner) - 80.0 * 0.15).abs() < 2.0,
-        "the recovery ramp of a site that was lost again starts over"
+        "the recovery ramp starts over after the site was lost again"
     );
     observe_for(
         &mut planner,
@@ -156,7 +158,7 @@
 fn planner_keeps_a_site_recovering_when_it_resumes_from_another_planner() {
     let mut first = Planner::new(settings()).expect("settings");
     let healthy = [up(100.0, 60.0), up(100.0, 60.0), up(100.0, 60.0)];
-    let one_lost = [silent(healthy[0]), healthy[1], healthy[2]];
+    let one_lost = [with_silent_hosts(healthy[0]), healthy[1], healthy[2]];
     observe_for(
         &mut first,
         Timestamp::from_millis(0),
@@ -183,7 +185,7 @@
     assert!(budget < 80.0 * 0.25);
 }
 
-fn observation() -> impl Strategy<Value = SiteObservation> {
+fn any_observation() -> impl Strategy<Value = SiteObservation> {
     (
         1u32..20,
         0u32..20,
@@ -203,12 +205,12 @@
 }
 
 proptest! {
-    /// Whatever is observed: once some site is not up, what a plan sends to a site stays within its
-    /// budget; the shares of a load add up to at most one; classes are shed in order; and the
-    /// gateways' parts add up to the budget.
+    /// For any observations: while some site is not up, the load that a plan assigns to a site
+    /// stays within the site's budget; the shares of a site's load add up to at most 1; classes are
+    /// shed in order; and the gateways' parts of a budget add up to at most the budget.
     #[test]
     fn plan_stays_within_all_budgets_for_any_observations(
-        steps in proptest::collection::vec(proptest::collection::vec(observation(), 3), 1..30),
+        steps in proptest::collection::vec(proptest::collection::vec(any_observation(), 3), 1..30),
         class_rates in proptest::collection::vec(0.0f64..300.0, 3),
         gateway_count in 1u32..300,
     ) {
@@ -228,8 +230,8 @@
                 let site_plan = &plan.sites[site];
                 prop_assert!(all_up || sent <= site_plan.budget_per_s + 1e-6);
                 prop_assert!(site_plan.load_distribution.iter().sum::<f64>() <= 1.0 + 1e-9);
-                let most = 0.8 * observations[site].capacity_per_s;
-                prop_assert!(site_plan.budget_per_s <= most + 1e-9);
+                let max_budget = 0.8 * observations[site].capacity_per_s;
+                prop_assert!(site_plan.budget_per_s <= max_budget + 1e-9);
             }
             let admitted = &plan.admitted_share;
             prop_assert!(admitted[1] == 1.0 || admitted[0] < 1e-9 || class_rates[0] == 0.0);
--- a/crates/site-failover/tests/settings.rs
+++ b/crates/site-failover/tests/settings.rs
@@ -1,10 +1,10 @@
-//! The checks of the settings.
+//! Tests of the validation of the settings.
 
 use irisrouter_cluster_types::Milliseconds;
 use irisrouter_site_failover::{ClassIndex, Settings, SettingsError, SiteIndex};
 
-/// Checks the settings after a change that makes them invalid.
-fn rejection(change: impl FnOnce(&mut Settings)) -> SettingsError {
+/// Applies a change that makes valid settings invalid, and returns the error of their check.
+fn check_error_after(change: impl FnOnce(&mut Settings)) -> SettingsError {
     let mut settings = Settings {
         preferred_sites: vec![vec![SiteIndex(2)], vec![], vec![]],
         load_shedding_order: vec![ClassIndex(0), ClassIndex(1)],
@@ -16,10 +16,11 @@
     settings.check().expect_err("the settings are invalid")
 }
 
-/// Operators see the text, in which the field comes first.
+/// Asserts that settings are rejected with this field and error message. Operators see the message,
+/// which has to start with the field.
 #[track_caller]
 fn assert_rejected(change: impl FnOnce(&mut Settings), field: &str, text: &str) {
-    let error = rejection(change);
+    let error = check_error_after(change);
     assert_eq!(error.field, field);
     assert_eq!(error.to_string(), text);
     assert_eq!(text.split(':').next(), Some(field));
