--- a/crates/leases/src/claim.rs
+++ b/crates/leases/src/claim.rs
@@ -1,15 +1,15 @@
-//! A claimant's side of one lease: the epoch that it requests or holds, and which voters have granted it. The model checker
-//! checks this very struct (`tests/model.rs`).
+//! A claimant's state for one lease: the epoch that it requests or holds, and which voters have granted it. The model
+//! checker in `tests/model.rs` runs on this struct itself.
 //!
-//! The claimant holds the lease while the grants of a majority of the voters run. Each grant counts from the moment at
-//! which it was *requested*, and for a margin less than the length of a lease. Two majorities have a voter in common, so no
-//! two claimants hold a lease at once as long as clocks run at rates that differ by less than the margin; and the epoch of
-//! each new holder is later than that of the last.
+//! The claimant holds the lease while the grants of a majority of the voters are valid. Each grant is valid from the
+//! time at which it was *requested*, for the duration of a lease minus a margin. Any two majorities have a voter in
+//! common. Therefore no two claimants hold the lease at the same time, as long as the rates of their clocks differ by
+//! less than the margin, and the epoch of each new holder is later than that of the previous one.
 
 use crate::LeaseTerms;
 use irisrouter_cluster_types::{Epoch, Timestamp};
 
-/// How many rounds of requests a claimant remembers. An answer to an older round is not counted.
+/// Number of rounds of requests that a claimant remembers. Grants of older rounds are ignored.
 const REMEMBERED_ROUNDS: usize = 8;
 
 /// A round of requests to all voters.
@@ -19,14 +19,14 @@
     requested_at: Timestamp,
 }
 
-/// One claimant's side of the lease on one task.
+/// A claimant's state for the lease on one task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Default)]
 pub struct Claim {
-    /// The epoch requested or held.
+    /// The epoch that the claimant requests or holds. `None` if there is no claim.
     epoch: Option<Epoch>,
     /// The latest rounds, oldest first.
     rounds: Vec<Round>,
-    /// For each voter: when the latest round that it granted was requested.
+    /// For each voter, the time at which the latest round that it granted was requested. `None` without a grant.
     granted_rounds: Vec<Option<Timestamp>>,
     /// The latest epoch that this claimant has seen.
     latest_seen_epoch: Epoch,
@@ -34,7 +34,7 @@
 }
 
 impl Claim {
-    /// A claim with this number of voters, which requests nothing yet.
+    /// Creates the state for this number of voters, without a claim.
     #[must_use]
     pub fn new(voters: usize) -> Self {
         Self {
@@ -43,14 +43,14 @@
         }
     }
 
-    /// The epoch requested or held.
+    /// Returns the epoch that the claimant requests or holds.
     #[must_use]
     pub const fn epoch(&self) -> Option<Epoch> {
         self.epoch
     }
 
-    /// Chooses a new epoch to request: later than any seen, and not before `floor`. The floor is Unix time in
-    /// milliseconds, so that a fleet whose voters have all forgotten their promises does not begin again at 1.
+    /// Starts a claim for a new epoch, which is later than any epoch seen and at least `floor`. The floor is the Unix
+    /// time in milliseconds, so that epochs do not start again at 1 in a fleet whose voters have all lost their state.
     pub fn start(&mut self, floor: Epoch) {
         let epoch = floor.max(self.latest_seen_epoch.next());
         self.end();
@@ -58,7 +58,7 @@
         self.latest_seen_epoch = epoch;
     }
 
-    /// Starts a round of requests to all voters, and returns its number.
+    /// Starts a round of requests to all voters at `now`, and returns the number of the round.
     pub fn start_round(&mut self, now: Timestamp) -> u16 {
         self.last_round = self.last_round.wrapping_add(1);
         if self.rounds.len() == REMEMBERED_ROUNDS {
@@ -71,7 +71,8 @@
         self.last_round
     }
 
-    /// A voter, by its index, granted this epoch in this round.
+    /// Records that the voter with this index granted `epoch` in `round`. Grants of other epochs and unknown rounds are
+    /// ignored.
     pub fn record_grant(&mut self, voter: usize, epoch: Epoch, round: u16) {
         if self.epoch != Some(epoch) {
             return;
@@ -84,8 +85,8 @@
         }
     }
 
-    /// A voter has granted this epoch to some holder. Returns whether it is later than the epoch requested or held here: then
-    /// that one is superseded, and this claim has ended.
+    /// Records that a voter has granted `epoch` to some claimant. If `epoch` is later than the epoch of this claim, the
+    /// claim is superseded and ends. Returns whether it was superseded.
     pub fn observe_epoch(&mut self, epoch: Epoch) -> bool {
         self.latest_seen_epoch = self.latest_seen_epoch.max(epoch);
         let superseded = self.epoch.is_some_and(|own| epoch > own);
@@ -95,15 +96,15 @@
         superseded
     }
 
-    /// Ends the claim: nothing is requested or held any more.
+    /// Ends the claim. Afterwards no epoch is requested or held.
     pub fn end(&mut self) {
         self.epoch = None;
         self.rounds.clear();
         self.granted_rounds.fill(None);
     }
 
-    /// Until when the lease is held: the grants of a majority run until then, less the margin. The
-    /// clock's origin where no majority has granted it.
+    /// Returns the time until which the claimant holds the lease: the end of the time for which the grants of a
+    /// majority are valid, minus the margin. Returns [`Timestamp::ZERO`] if no majority has granted it.
     #[must_use]
     pub fn valid_until(&self, terms: LeaseTerms) -> Timestamp {
         let mut requested: Vec<Timestamp> = self.granted_rounds.iter().flatten().copied().collect();
@@ -114,7 +115,7 @@
         })
     }
 
-    /// The fencing token, while the lease is held.
+    /// Returns the fencing token if the claimant holds the lease at `now`.
     #[must_use]
     pub fn token(&self, now: Timestamp, terms: LeaseTerms) -> Option<Epoch> {
         self.epoch.filter(|_| now < self.valid_until(terms))
--- a/crates/leases/src/codec.rs
+++ b/crates/leases/src/codec.rs
@@ -1,8 +1,9 @@
-//! The datagram of leases: requests and votes between two gateways, several in one datagram, bounded and versioned.
+//! Encoding of the lease datagrams, which carry requests and votes between two gateways. A datagram holds several
+//! messages. Its size is limited, and its first byte states the version.
 //!
 //! ```text
 //! 0        magic and version: 0xB1 (`irisrouter_datagram::magic` lists all protocols on the peer socket)
-//! 1..3     the sender's generation (u16, big-endian); which gateway it is follows from its address
+//! 1..3     the sender's generation (u16, big-endian); the sender's gateway id is known from its address
 //! 3        count of messages, then 28 bytes each:
 //! 0        kind: 0 request, 1 granted, 2 refused, 3 released, 4 offered, 5 pre-vote, 6 vacant
 //! 1..9     task    9..17 epoch    17..19 round
@@ -19,29 +20,30 @@
 pub use irisrouter_datagram::magic::LEASES as MAGIC;
 pub use irisrouter_datagram::{WireError, MAX_DATAGRAM_BYTES};
 
-/// How many messages fit one datagram.
+/// Maximum number of messages in one datagram.
 pub const MAX_MESSAGES: usize = max_items::<u16, LeaseMessage>();
 
-/// The holder's gateway where a message names no holder.
+/// Encoded gateway id of a message without a holder.
 const NO_HOLDER: GatewayId = GatewayId(u32::MAX);
-/// The longest remaining time that can be encoded.
+/// The longest remaining time that can be encoded, the maximum of a u24.
 const MAX_REMAINING: Milliseconds = Milliseconds(0xff_ffff);
-/// Size of the encoded remaining time.
+/// Size of the encoded remaining time, in bytes.
 const REMAINING_BYTES: usize = 3;
 
-/// What a message says about a task.
+/// The kind of a message about a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
     /// A claimant requests the epoch.
     Request,
-    /// A voter grants the epoch for the length of a lease. The holder is the other process to which
-    /// this voter granted an epoch before, whether or not a majority did so too.
+    /// A voter grants the epoch for the duration of a lease. The holder is the other process to which this voter
+    /// granted its latest epoch before, whether or not a majority of the voters did so too.
     Granted,
-    /// A voter refuses. The epoch is the latest that it granted; the holder has it for the remaining time.
+    /// A voter refuses. The epoch is the latest that it granted, and its promise to the holder lasts for the remaining
+    /// time.
     Refused,
-    /// A holder gives the epoch up.
+    /// A holder or a claimant releases the epoch.
     Released,
-    /// A former holder offers the vacant lease to the first candidate.
+    /// A former holder offers the lease that it has released to the first candidate.
     Offered,
     /// A claimant asks whether a request would be granted.
     PreVote,
@@ -49,7 +51,7 @@
     Vacant,
 }
 
-/// All kinds; the index of a kind is its number in the datagram.
+/// All kinds. The index of a kind is its number in the datagram.
 const KINDS: [MessageKind; 7] = [
     MessageKind::Request,
     MessageKind::Granted,
@@ -63,22 +65,22 @@
 /// One request or vote.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseMessage {
-    /// What the message says.
+    /// The kind of the message.
     pub kind: MessageKind,
     /// The task.
     pub task: TaskId,
-    /// The epoch; see the kinds.
+    /// The epoch, whose meaning depends on the kind.
     pub epoch: Epoch,
-    /// The round of requests, which the answer repeats.
+    /// The number of the round of requests or of the pre-vote. An answer repeats the number of its request.
     pub round: u16,
-    /// A holder; see the kinds.
+    /// The holder, whose meaning depends on the kind.
     pub holder: Option<GatewayProcess>,
-    /// How long a voter's promise still runs; see the kinds. Encoded as at most 2^24 - 1 milliseconds.
+    /// The remaining time of a voter's promise, in refusals. Encoded as at most 2^24 - 1 milliseconds.
     pub remaining: Milliseconds,
 }
 
 impl LeaseMessage {
-    /// A message that names no round, no holder and no time.
+    /// Creates a message with round 0, no holder and no remaining time.
     #[must_use]
     pub const fn new(kind: MessageKind, task: TaskId, epoch: Epoch) -> Self {
         Self {
@@ -101,7 +103,7 @@
             generation: Generation(0),
         });
         let remaining = self.remaining.min(MAX_REMAINING);
-        // A kind's number is its index in KINDS: both are in the same order.
+        // The variants of MessageKind and the entries of KINDS are in the same order.
         buffer.put_u8(self.kind as u8);
         buffer.put_u64(self.task.0);
         buffer.put_u64(self.epoch.0);
@@ -146,7 +148,7 @@
     pub messages: Vec<LeaseMessage>,
 }
 
-/// Encodes a datagram with up to [`MAX_MESSAGES`] messages; messages beyond that are left out.
+/// Encodes a datagram with up to [`MAX_MESSAGES`] messages. Any further messages are omitted.
 #[must_use]
 pub fn encode(sender_generation: Generation, messages: &[LeaseMessage]) -> Vec<u8> {
     encode_items(MAGIC, &sender_generation.0, messages)
@@ -155,7 +157,8 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// The datagram is of another protocol or version, is not as long as its count announces, or has an unknown kind.
+/// The datagram is of another protocol or version, its size does not match its message count, or a message is of an
+/// unknown kind.
 pub fn decode(datagram: &[u8]) -> Result<LeaseDatagram, WireError> {
     let list = decode_items::<u16, LeaseMessage>(MAGIC, datagram)?;
     Ok(LeaseDatagram {
@@ -164,7 +167,7 @@
     })
 }
 
-/// Whether a datagram belongs to leases, in whatever version, by its first byte.
+/// Returns whether the first byte of a datagram identifies it as a lease datagram, of any version.
 #[must_use]
 pub fn recognizes(datagram: &[u8]) -> bool {
     has_magic(datagram, MAGIC)
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,19 +1,20 @@
-//! Leases: which gateway of the fleet does which task. One gateway at a time holds the lease on a task, under a fencing
-//! token, the epoch, that grows with every change of holder.
+//! Leases, which assign each task of the fleet to one gateway. At most one gateway at a time holds the lease on a task.
+//! The epoch of the lease serves as its fencing token and increases with every change of holder.
 //!
-//! A task is a number (`TaskId` of `irisrouter-cluster-types`), for example that of the health checks of a set of database hosts. The gateways alive
-//! are its candidates, in the order of [`rendezvous::candidates`]. The first candidate claims the lease. The next two stand
-//! by: they ask the voters now and then (a pre-vote, as in Raft), and claim the lease once it has expired. Whether a
-//! claim succeeds is decided by a majority of the task's voters, which are at most five gateways of the fleet's list
-//! ([`rendezvous::voters`], [`Voter`], [`Claim`]). A holder that is not the first candidate hands the lease over to the first
-//! once that one has been alive for a while.
+//! A task is identified by a number (`TaskId` of `irisrouter-cluster-types`), for example the health checks of a set of
+//! database hosts. Its candidates are the gateways that are alive, in the order of [`rendezvous::candidates`]. The
+//! first candidate claims the lease. The next two are on standby: they periodically ask the voters whether the lease is
+//! vacant (a pre-vote, as in Raft), and claim it once it has expired. A claim succeeds when a majority of the task's
+//! voters grant it. The voters are at most five gateways of the fleet's list ([`rendezvous::voters`], [`Voter`],
+//! [`Claim`]). A holder that is not the first candidate hands the lease over to the first candidate after
+//! [`Settings::handover_delay`].
 //!
-//! A holder checks [`LeaseManager::fencing_token`] before each act, and the act carries the token. A database host that
-//! remembers the latest token it saw refuses an older one. This is the only protection against an act that began before
-//! the lease expired and arrives after it.
+//! A holder checks [`LeaseManager::fencing_token`] before each operation, and sends the token with the operation. A
+//! database host that remembers the latest token it has seen rejects operations with an older one. This is the only
+//! protection against an operation that was started before the lease expired and arrives after that.
 //!
-//! The package does no I/O, reads no clock and starts no tasks: callers pass in datagrams and the time, and carry out the
-//! [`Action`]s. It has the same shape as `irisrouter-membership`.
+//! The package does no I/O, reads no clock and spawns no async tasks: callers pass in datagrams and the time, and carry
+//! out the [`Action`]s. `irisrouter-membership` is structured in the same way.
 
 mod action;
 mod claim;
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -1,4 +1,4 @@
-//! All leases of one gateway, as holder, claimant and voter.
+//! The leases of one gateway in its three roles: holder, claimant and voter.
 
 mod answers;
 mod claims;
@@ -13,16 +13,16 @@
 };
 use std::collections::BTreeMap;
 
-/// How many tasks a gateway remembers as a claimant, and how many as a voter. Without this bound, datagrams that name
-/// ever new tasks would fill the memory.
+/// Maximum number of tasks that a gateway keeps state for as a claimant, and separately as a voter. Without this limit,
+/// datagrams that name more and more tasks would exhaust the memory.
 pub(crate) const MAX_TASKS: usize = 4_096;
 
-/// Which side of a network partition a gateway is on, by its view of the fleet.
+/// The side of a network partition that a gateway is on, according to its view of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionSide {
-    /// It reaches more than half of the fleet.
+    /// The gateway reaches more than half of the fleet, itself included.
     Majority,
-    /// It reaches at most half of the fleet.
+    /// The gateway reaches at most half of the fleet, itself included.
     Minority,
 }
 
@@ -31,11 +31,11 @@
 pub struct HeldLease {
     /// The task.
     pub task: TaskId,
-    /// The fencing token.
+    /// The epoch of the lease, which is the fencing token.
     pub epoch: Epoch,
 }
 
-/// All leases of one gateway.
+/// The leases of one gateway, as holder, claimant and voter.
 pub struct LeaseManager {
     local: GatewayProcess,
     settings: Settings,
@@ -43,9 +43,10 @@
     voter_role: VoterRole,
     alive: Vec<GatewayId>,
     side: PartitionSide,
-    /// Since when this gateway has been in a minority partition, until it has released all leases for that.
+    /// Time at which this gateway entered a minority partition. `None` in a majority partition, and again once all
+    /// leases have been released.
     minority_since: Option<Timestamp>,
-    /// The wall clock's time at the origin of the caller's clock.
+    /// Wall clock time at the origin of the caller's clock.
     clock_origin: UnixMilliseconds,
     last_pre_vote_round: u16,
     outbox: Outbox,
@@ -53,7 +54,7 @@
 }
 
 impl LeaseManager {
-    /// A gateway that holds no lease; `started` is now.
+    /// Creates the manager of a gateway that holds no lease. `started` is the current time.
     ///
     /// # Errors
     /// A setting is out of its range.
@@ -78,14 +79,16 @@
         })
     }
 
-    /// This process receives datagrams from now on, and not since [`LeaseManager::new`]. As a voter it grants nothing for
-    /// the length of a lease, as an older process of the same gateway may have granted until now.
+    /// Records that this process began to receive datagrams at `now`, rather than when it called [`LeaseManager::new`].
+    /// As a voter it grants nothing for the duration of one lease from `now`, because an older process of the same
+    /// gateway may have granted leases until then.
     pub fn on_socket_opened(&mut self, now: Timestamp) {
         self.voter_role.restart(now);
     }
 
-    /// Updates the view of the fleet: the gateways alive, this one included, and the side of a network partition. In a
-    /// minority partition no lease is claimed, and all that are held are released after the length of a lease.
+    /// Updates the view of the fleet: the gateways that are alive, including this one, and the side of a network
+    /// partition. In a minority partition this gateway claims no lease, and releases all its leases after the duration
+    /// of one lease.
     pub fn update_view(&mut self, now: Timestamp, alive: &[GatewayId], side: PartitionSide) {
         if self.alive == alive && self.side == side {
             return;
@@ -95,21 +98,22 @@
         for (&task, state) in &mut self.tasks {
             state.candidacy = Candidacy::new(task, &self.alive, self.local.gateway);
         }
-        // Leases are not released at once: a view that changes for a moment, under loss, would take all leases from their
-        // holders. It is the voters that prevent a second holder, not this.
+        // Leases are not released immediately. Otherwise a view that changes briefly, because datagrams are lost, would
+        // take all leases from their holders. The voters prevent a second holder in any case.
         self.minority_since = match side {
             PartitionSide::Majority => None,
             PartitionSide::Minority => self.minority_since.or(Some(now)),
         };
     }
 
-    /// The side of a network partition that this gateway is on, by the last view.
+    /// Returns the side of a network partition that this gateway is on, according to the latest view.
     #[must_use]
     pub const fn side(&self) -> PartitionSide {
         self.side
     }
 
-    /// Replaces the list of tasks. New ones are claimed from the next [`LeaseManager::advance`] on.
+    /// Replaces the list of tasks. The leases on removed tasks are released. Claims for new tasks start with the next
+    /// [`LeaseManager::advance`].
     pub fn set_tasks(&mut self, now: Timestamp, tasks: &[TaskId]) {
         let known = self.tasks.keys().copied();
         let removed: Vec<TaskId> = known.filter(|task| !tasks.contains(task)).collect();
@@ -127,20 +131,21 @@
         }
     }
 
-    /// The fencing token under which this gateway may act on a task at this moment; none where it does not hold the lease.
-    /// Ask before each act, and do not store the answer.
+    /// Returns the fencing token under which this gateway may perform a task at `now`, or `None` if it does not hold
+    /// the lease. Callers must call this before each operation and must not store the result.
     #[must_use]
     pub fn fencing_token(&self, now: Timestamp, task: TaskId) -> Option<Epoch> {
         let state = self.tasks.get(&task)?;
         state.announced_token(now, self.settings.terms())
     }
 
-    /// A database host refused the token of a task: a later one has been there, so the lease held here is over.
+    /// Gives up the lease on a task because a database host rejected its token: the host has seen a later one, so
+    /// another gateway has acquired the lease.
     pub fn token_rejected(&mut self, now: Timestamp, task: TaskId) {
         self.give_up(now, task, LeaseChange::Superseded);
     }
 
-    /// Releases all leases, as the gateway stops or is in a minority partition.
+    /// Releases all leases because the gateway stops or is in a minority partition.
     pub fn release_all(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.tasks.keys().copied().collect();
         for task in tasks {
@@ -152,7 +157,7 @@
     /// Processes a datagram from gateway `from`.
     ///
     /// # Errors
-    /// The datagram can't be decoded; then nothing is changed.
+    /// The datagram can't be decoded. The state is unchanged in this case.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -189,8 +194,8 @@
         }
     }
 
-    /// Does what is due by `now`. `unix_now` is the wall clock, from which epochs continue where all voters have
-    /// forgotten theirs.
+    /// Performs the work that is due at `now`. `unix_now` is the wall clock time. It is the lower limit for new epochs,
+    /// so that epochs increase even if all voters have lost their state.
     pub fn advance(&mut self, now: Timestamp, unix_now: UnixMilliseconds) {
         self.clock_origin = unix_now.saturating_sub(now.since_origin());
         if self.minority_deadline().is_some_and(|due| now >= due) {
@@ -205,7 +210,7 @@
         self.pack_outbox();
     }
 
-    /// When [`LeaseManager::advance`] next has work; [`Timestamp::MAX`] for never.
+    /// Returns the time at which [`LeaseManager::advance`] next has work to do, or [`Timestamp::MAX`] if there is none.
     #[must_use]
     pub fn next_due(&self) -> Timestamp {
         let tasks = self.tasks.values().map(|state| state.next_due);
@@ -215,18 +220,18 @@
             .unwrap_or(Timestamp::MAX)
     }
 
-    /// When all leases are released for being in a minority partition.
+    /// Returns the time at which all leases are released because this gateway is in a minority partition, if it is.
     fn minority_deadline(&self) -> Option<Timestamp> {
         self.minority_since
             .map(|since| since + self.settings.lease_length)
     }
 
-    /// What the caller has to do, in order.
+    /// Removes and returns the actions that the caller has to carry out, in order.
     pub fn drain_actions(&mut self) -> std::vec::Drain<'_, Action> {
         self.actions.drain(..)
     }
 
-    /// The leases held at this moment, in the order of the tasks' numbers.
+    /// Returns the leases that this gateway holds at `now`, in ascending order of task id.
     #[must_use]
     pub fn held_leases(&self, now: Timestamp) -> Vec<HeldLease> {
         let tasks = self.tasks.keys();
--- a/crates/leases/src/manager/answers.rs
+++ b/crates/leases/src/manager/answers.rs
@@ -1,4 +1,4 @@
-//! The voters' answers, and the offer of a former holder.
+//! Processing of the voters' answers, and of offers by former holders.
 
 use super::LeaseManager;
 use crate::codec::{LeaseMessage, MessageKind};
@@ -6,7 +6,8 @@
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp};
 
 impl LeaseManager {
-    /// A former holder offers its lease to this gateway, the first candidate: it is claimed at once.
+    /// Processes the offer of a former holder, which has released its lease and considers this gateway the first
+    /// candidate. A new claim becomes due at once, unless this gateway holds the lease already.
     pub(super) fn process_offer(&mut self, now: Timestamp, message: &LeaseMessage) {
         let state = self.tasks.get_mut(&message.task);
         if let Some(state) = state.filter(|state| state.held_epoch.is_none()) {
@@ -15,7 +16,8 @@
         }
     }
 
-    /// Processes the answer of gateway `from` to a request or a pre-vote. Ignored where that gateway is no voter of the task.
+    /// Processes the answer of gateway `from` to a request or a pre-vote. The answer is ignored if that gateway is not
+    /// a voter of the task.
     pub(super) fn process_answer(
         &mut self,
         now: Timestamp,
@@ -35,7 +37,7 @@
         }
     }
 
-    /// A voter would grant a request: once a majority would, the claim starts.
+    /// Processes the answer of a voter that would grant a request. Starts a claim once a majority of the voters would.
     fn process_vacant(&mut self, now: Timestamp, voter: usize, message: &LeaseMessage) {
         let Some(state) = self.tasks.get_mut(&message.task) else {
             return;
@@ -45,7 +47,7 @@
         }
     }
 
-    /// A voter granted a request: once a majority has, the lease is held.
+    /// Processes a grant. Announces the lease as acquired once a majority of the voters have granted it.
     fn process_grant(&mut self, now: Timestamp, voter: usize, message: &LeaseMessage) {
         let settings = self.settings;
         let Some(state) = self.tasks.get_mut(&message.task) else {
@@ -75,7 +77,8 @@
         });
     }
 
-    /// A voter refused: either the lease held here is superseded, or the claim waits.
+    /// Processes a refusal. If it names a later epoch, the lease that this gateway holds is superseded. If this gateway
+    /// holds none, its next claim or request may be postponed.
     fn process_refusal(&mut self, now: Timestamp, message: &LeaseMessage) {
         let settings = self.settings;
         let local = self.local;
@@ -98,8 +101,9 @@
         let held_by_other = message.holder.is_some_and(|holder| holder != local);
         let promise_runs = message.remaining > Milliseconds::ZERO;
         if superseded || held_by_other || promise_runs {
-            // Another gateway holds the lease, or the voter has just been started. The next try is due when that is over,
-            // candidate by candidate.
+            // Another gateway holds the lease, or the voter was started recently. The next claim or request is due when
+            // the voter's promise has expired, plus a delay for each rank so that the candidates do not claim at the
+            // same time.
             let remaining = message.remaining.min(settings.lease_length);
             let delay = settings.candidate_delay() * state.candidacy.rank as u64;
             let retry_at = now + remaining + delay;
--- a/crates/leases/src/manager/claims.rs
+++ b/crates/leases/src/manager/claims.rs
@@ -7,7 +7,8 @@
 use irisrouter_cluster_types::{Epoch, TaskId, Timestamp};
 
 impl LeaseManager {
-    /// Renews or claims the lease on a task, or finds that it has expired.
+    /// Performs the work that is due for a task: renews its lease, hands it over or ends it if this gateway holds it,
+    /// and otherwise advances the claim.
     pub(super) fn process_due_task(&mut self, now: Timestamp, task: TaskId) {
         let Some(state) = self.tasks.get(&task) else {
             return;
@@ -18,7 +19,7 @@
         }
     }
 
-    /// The holder's work: notice that the lease has expired, hand it over to the first candidate, or renew it.
+    /// As the holder, reports that the lease has expired, hands it over to the first candidate, or renews it.
     fn maintain_lease(&mut self, now: Timestamp, task: TaskId, epoch: Epoch) {
         let settings = self.settings;
         let Some(state) = self.tasks.get_mut(&task) else {
@@ -56,7 +57,7 @@
         self.request_grants(now, task);
     }
 
-    /// The work of a gateway that does not hold the lease: hold a pre-vote, request the grants again, or end the claim.
+    /// As a gateway that does not hold the lease, starts a pre-vote, requests the grants again, or ends the claim.
     fn pursue_lease(&mut self, now: Timestamp, task: TaskId) {
         let settings = self.settings;
         let may_claim = self.side == PartitionSide::Majority;
@@ -75,8 +76,8 @@
         }
     }
 
-    /// Ends a claim that no majority granted for the length of a lease. What was granted is released, so that another
-    /// candidate may have it.
+    /// Ends a claim that no majority has granted within the duration of one lease after its start. Releases the grants
+    /// of single voters so that another candidate can obtain them.
     fn abandon_claim(&mut self, now: Timestamp, task: TaskId) {
         let settings = self.settings;
         self.release_epoch(now, task);
@@ -85,11 +86,11 @@
         }
     }
 
-    /// Asks all voters whether they would grant a request, before any is made.
+    /// Asks all voters whether they would grant a request, before any request is sent.
     ///
-    /// A claim that can't succeed takes the grants of single voters away from others, and its later epoch ends the lease of a
-    /// holder that is well. Without the pre-vote, two candidates that stood by could so keep a task from having any holder,
-    /// for as long as they tried.
+    /// A claim without a majority takes the grants of single voters away from other candidates, and its later epoch
+    /// ends the lease of a healthy holder. Without the pre-vote, two candidates on standby could prevent a task from
+    /// having any holder for as long as they repeated their claims.
     fn start_pre_vote(&mut self, now: Timestamp, task: TaskId) {
         self.last_pre_vote_round = self.last_pre_vote_round.wrapping_add(1);
         let round = self.last_pre_vote_round;
@@ -108,7 +109,7 @@
         self.ask_voters(now, &message);
     }
 
-    /// Starts a claim, after a pre-vote in which a majority of the voters would have granted it.
+    /// Starts a claim after a pre-vote in which a majority of the voters answered that they would grant it.
     pub(super) fn start_claim(&mut self, now: Timestamp, task: TaskId) {
         let unix_now = self.clock_origin + now.since_origin();
         let Some(state) = self.tasks.get_mut(&task) else {
@@ -121,7 +122,7 @@
         self.request_grants(now, task);
     }
 
-    /// Requests the epoch claimed or held from all voters.
+    /// Sends all voters a round of requests for the epoch that this gateway claims or holds.
     fn request_grants(&mut self, now: Timestamp, task: TaskId) {
         let Some(state) = self.tasks.get_mut(&task) else {
             return;
@@ -138,7 +139,8 @@
         self.ask_voters(now, &message);
     }
 
-    /// Sends a question to all voters. Where this gateway is one of them, its own answer is processed at once.
+    /// Sends a request or a pre-vote to all voters. If this gateway is one of them, its own vote is processed
+    /// immediately.
     fn ask_voters(&mut self, now: Timestamp, question: &LeaseMessage) {
         let Some(state) = self.tasks.get(&question.task) else {
             return;
@@ -155,7 +157,8 @@
         }
     }
 
-    /// Ends what is held or claimed, releases it at the voters, and offers it to the first candidate.
+    /// Ends the claim or the lease of this gateway and releases its epoch at the voters. A lease that was held is
+    /// offered to the first candidate, if that is another gateway.
     pub(super) fn give_up(&mut self, now: Timestamp, task: TaskId, change: LeaseChange) {
         let released = self.release_epoch(now, task);
         let Some(state) = self.tasks.get_mut(&task) else {
@@ -179,7 +182,8 @@
         }
     }
 
-    /// Releases the epoch claimed or held at all voters, and returns it.
+    /// Releases, at all voters, the epoch that this gateway claims or holds. Returns that epoch, or `None` if there is
+    /// no claim.
     fn release_epoch(&mut self, now: Timestamp, task: TaskId) -> Option<Epoch> {
         let state = self.tasks.get(&task)?;
         let epoch = state.claim.epoch()?;
--- a/crates/leases/src/rendezvous.rs
+++ b/crates/leases/src/rendezvous.rs
@@ -1,31 +1,34 @@
-//! The order of gateways for a task: rendezvous hashing (Thaler and Ravishankar, 1998). Each gateway has a weight for each
-//! task, the same everywhere. A gateway that leaves changes only what it was first for.
+//! Orders the gateways for a task by rendezvous hashing (Thaler and Ravishankar, 1998). Each gateway has a weight for
+//! each task, which all gateways compute alike. When a gateway leaves, the first gateway changes only for the tasks for
+//! which it was the first.
 
 use irisrouter_cluster_types::{GatewayId, TaskId};
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How many gateways vote on a task at most. With five, two may be down, and the cost of a lease does not grow with the
-/// fleet.
+/// Maximum number of gateways that vote on a task. With five voters, two may be down. The limit keeps the cost of a
+/// lease independent of the size of the fleet.
 pub const VOTERS: usize = 5;
 
-/// What an order is for. Candidates and voters of a task are drawn with different seeds, so the two orders differ.
+/// The role for which gateways are ordered. It is the seed of the hash, so that candidates and voters are in different
+/// orders.
 #[derive(Clone, Copy)]
 enum Role {
     Candidate = 0,
     Voter = 1,
 }
 
-/// These gateways in the order in which they are to hold the lease on a task. Equal weights are ordered by number.
+/// Returns the gateways in their order of preference as holders of the lease on a task. Gateways of equal weight are
+/// ordered by id.
 #[must_use]
 pub fn candidates(task: TaskId, alive: &[GatewayId]) -> Vec<GatewayId> {
     sorted_by_weight(task, alive.to_vec(), Role::Candidate)
 }
 
-/// The voters of a task in a fleet of this size.
+/// Returns the voters of a task in a fleet with this number of gateways.
 ///
-/// They are drawn from the whole fleet's list, and not from anybody's view of who is alive: two sides of a network partition
-/// that each chose voters on its own side would both grant the lease.
+/// The voters are chosen from all gateways of the fleet's list, whether or not they are alive. If each side of a
+/// network partition chose voters among the gateways that it reaches, both sides would grant the lease.
 #[must_use]
 pub fn voters(task: TaskId, fleet: u32) -> Vec<GatewayId> {
     let gateways = (0..fleet).map(GatewayId).collect();
--- a/crates/leases/src/settings.rs
+++ b/crates/leases/src/settings.rs
@@ -3,17 +3,17 @@
 use irisrouter_cluster_types::Milliseconds;
 use thiserror::Error;
 
-/// The shortest lease.
+/// The shortest lease duration that is accepted.
 const MIN_LEASE_LENGTH: Milliseconds = Milliseconds(100);
-/// The longest lease.
+/// The longest lease duration that is accepted.
 const MAX_LEASE_LENGTH: Milliseconds = Milliseconds(60_000);
 
-/// Settings.
+/// Settings of leases, the same at all gateways of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Settings {
     /// Number of gateways in the fleet's list.
     pub fleet: u32,
-    /// How long a voter's grant runs.
+    /// Duration of a lease: the time from a voter's grant until the grant expires.
     pub lease_length: Milliseconds,
 }
 
@@ -21,23 +21,24 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("{field}: {reason}")]
 pub struct SettingsError {
-    /// The setting, by its name in the operators' file.
+    /// The name of the setting in the operators' file.
     pub field: &'static str,
-    /// The range, and why it is so.
+    /// The limit that the setting violates, and the reason for the limit.
     pub reason: &'static str,
 }
 
-/// How long a grant runs at its voter, and by how much less at its holder.
+/// The duration of a grant as its voter counts it, and the margin by which its holder shortens it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTerms {
-    /// How long a voter's grant runs.
+    /// Time from a voter's grant until the grant expires.
     pub length: Milliseconds,
-    /// What the holder takes off, for clocks that run at different rates.
+    /// Time that the holder subtracts from the duration, because clocks run at different rates.
     pub margin: Milliseconds,
 }
 
 impl Settings {
-    /// The terms of each lease. The margin of a tenth covers clocks that run at rates up to a tenth apart.
+    /// Returns the terms of each lease. The margin of a tenth of the duration allows for clock rates that differ by up
+    /// to a tenth.
     #[must_use]
     pub fn terms(&self) -> LeaseTerms {
         LeaseTerms {
@@ -46,42 +47,42 @@
         }
     }
 
-    /// The time between two rounds of requests to the voters, both while claiming a lease and while renewing it. With 30 %
-    /// of the datagrams lost, each voter grants every second round.
+    /// Returns the interval between two rounds of requests to the voters, both for claims and for renewals. With 30 %
+    /// of the datagrams lost, each voter grants every second round on average.
     #[must_use]
     pub fn request_interval(&self) -> Milliseconds {
         self.lease_length / 5
     }
 
-    /// The time between the claims of the first candidate, the second and the third.
+    /// Returns the delay between the claims of two candidates of consecutive ranks.
     #[must_use]
     pub fn candidate_delay(&self) -> Milliseconds {
         self.lease_length / 5
     }
 
-    /// How long before the end of its lease a holder begins to renew it: when three tenths of the lease have passed since
-    /// the last round that a majority granted.
+    /// Returns how long before the end of its lease a holder starts to renew it. Together with the margin of a tenth,
+    /// this is three tenths of the lease duration after the request of the latest round that a majority granted.
     #[must_use]
     pub fn renewal_lead(&self) -> Milliseconds {
         self.lease_length * 6 / 10
     }
 
-    /// How long another gateway has to be the first candidate before the holder hands the lease over to it. A view of the
-    /// fleet that changes for a moment moves no lease.
+    /// Returns how long another gateway must have been the first candidate before the holder hands the lease over. The
+    /// delay prevents brief changes in the view of the fleet from moving leases.
     #[must_use]
     pub fn handover_delay(&self) -> Milliseconds {
         self.lease_length * 2
     }
 
-    /// Within this time of its holder's death a task has another holder, while a majority of its voters and two of its first
-    /// three candidates run and reach each other. The sum of what is left of the lease, the third candidate's delay, and
-    /// two tries at a claim.
+    /// Returns the maximum time from the death of a holder until its task has another holder, provided that a majority
+    /// of the voters and two of the first three candidates are running and reach each other. It is the sum of the
+    /// remaining time of the lease, the delay of the third candidate, and the time for two claims.
     #[must_use]
     pub fn takeover_bound(&self) -> Milliseconds {
         self.lease_length * 2 + self.candidate_delay() * 2
     }
 
-    /// Checks the settings.
+    /// Checks that each setting is in its range.
     ///
     /// # Errors
     /// A setting is out of its range.
--- a/crates/leases/src/task_state.rs
+++ b/crates/leases/src/task_state.rs
@@ -1,22 +1,24 @@
-//! What this gateway knows of one task for which it may hold the lease.
+//! State of one task whose lease this gateway may claim or hold.
 
 use crate::{rendezvous, Claim, LeaseTerms, Settings};
 use irisrouter_cluster_types::{Epoch, GatewayId, GatewayProcess, TaskId, Timestamp};
 
-/// How many gateways claim the lease on a task, the first candidate included. The others need not know of the task.
+/// Number of gateways that may claim the lease on a task, including the first candidate. The other gateways need not
+/// have the task in their lists.
 pub(crate) const CANDIDATES: usize = 3;
 
-/// This gateway's place among the candidates of a task.
+/// The position of this gateway among the candidates of a task.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidacy {
-    /// This gateway's rank: 0 for the first candidate.
+    /// Rank of this gateway, 0 for the first candidate. At least [`CANDIDATES`] if this gateway may not claim the
+    /// lease.
     pub(crate) rank: usize,
     /// The first candidate.
     pub(crate) first: GatewayId,
 }
 
 impl Candidacy {
-    /// The place of gateway `local` among those alive.
+    /// Determines the position of gateway `local` among the gateways that are alive.
     pub(crate) fn new(task: TaskId, alive: &[GatewayId], local: GatewayId) -> Self {
         let order = rendezvous::candidates(task, alive);
         let local_rank = order.iter().position(|&gateway| gateway == local);
@@ -26,40 +28,42 @@
         }
     }
 
-    /// Whether this gateway is one of those that claim the lease.
+    /// Returns whether this gateway may claim the lease.
     pub(crate) const fn is_candidate(self) -> bool {
         self.rank < CANDIDATES
     }
 }
 
-/// A pre-vote under way.
+/// A pre-vote in progress.
 pub(crate) struct PreVote {
     pub(crate) round: u16,
-    /// The indices of the voters that would grant a request.
+    /// Indices of the voters that have answered that they would grant a request.
     pub(crate) vacant_at: Vec<usize>,
 }
 
-/// What this gateway knows of one task.
+/// State of one task whose lease this gateway may claim or hold.
 pub(crate) struct TaskState {
     pub(crate) voters: Vec<GatewayId>,
     pub(crate) claim: Claim,
     pub(crate) candidacy: Candidacy,
-    /// When the next round of requests, or the next claim, is due.
+    /// Time at which the next round of requests, or the next claim, is due.
     pub(crate) next_due: Timestamp,
-    /// When the claim under way was started.
+    /// Time at which the current claim was started.
     pub(crate) claim_started: Timestamp,
     pub(crate) pre_vote: Option<PreVote>,
-    /// The fencing token that was announced by `Action::Acquired`, until `Action::Lost`.
+    /// The fencing token that was announced with `Action::Acquired`. `None` again after `Action::Lost`.
     pub(crate) held_epoch: Option<Epoch>,
-    /// The process to which a voter had granted the lease before, as the first grant that names one has it. For the log
-    /// only; see [`LeaseChange::TakenOver`](crate::LeaseChange::TakenOver).
+    /// The process to which a voter had granted the lease before, taken from the first grant that names one. It is used
+    /// for the log only, because that process may never have held the lease. See
+    /// [`LeaseChange::TakenOver`](crate::LeaseChange::TakenOver).
     pub(crate) previous_holder: Option<GatewayProcess>,
-    /// Since when another gateway is the first candidate, while this one holds the lease.
+    /// Time since which this gateway has held the lease while another gateway was the first candidate.
     pub(crate) other_first_since: Option<Timestamp>,
 }
 
 impl TaskState {
-    /// A task that is new at `now`. Candidates begin one after the other, in the order of their ranks.
+    /// Creates the state of a task that was added at `now`. The first claim is delayed by this gateway's rank, so that
+    /// the candidates start one after the other.
     pub(crate) fn new(
         task: TaskId,
         now: Timestamp,
@@ -80,20 +84,20 @@
         }
     }
 
-    /// The fencing token, while the lease is held and its acquisition has been announced.
+    /// Returns the fencing token if this gateway holds the lease and has announced its acquisition.
     pub(crate) fn announced_token(&self, now: Timestamp, terms: LeaseTerms) -> Option<Epoch> {
         let token = self.claim.token(now, terms)?;
         (self.held_epoch == Some(token)).then_some(token)
     }
 
-    /// Ends the claim. The next one is due when the delay of this gateway's rank has passed once more.
+    /// Ends the claim. The next claim is due after one candidate delay, plus one more for each rank below the first.
     pub(crate) fn end_claim_and_back_off(&mut self, now: Timestamp, settings: Settings) {
         self.claim.end();
         self.next_due = now + settings.candidate_delay() * (1 + self.candidacy.rank as u64);
     }
 
-    /// Records that a voter would grant a request, by its answer to a pre-vote. Returns whether a claim may start: a majority
-    /// of the voters would grant one, and none is under way.
+    /// Records the answer of a voter to a pre-vote, that it would grant a request. Returns whether a claim may start,
+    /// which is the case if a majority of the voters would grant it and no claim is in progress.
     pub(crate) fn record_vacant(&mut self, voter: usize, round: u16, latest_epoch: Epoch) -> bool {
         let Some(pre_vote) = &mut self.pre_vote else {
             return false;
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,40 +1,42 @@
-//! A voter's side of one lease: what it has promised. The model checker checks this very struct (`tests/model.rs`).
+//! A voter's state for one lease: the promise that it has made. The model checker in `tests/model.rs` runs on this
+//! struct itself.
 //!
-//! A claimant requests that the voters of a task grant it an epoch for the length of a lease. A voter grants an epoch that is
-//! later than all that it granted before. While its promise to one holder runs, it grants nothing to any other; the same
-//! holder may renew the same epoch.
+//! A claimant requests that the voters of a task grant it an epoch for the duration of a lease. A voter grants an epoch
+//! only if it is later than all epochs that it granted before. A grant is a promise: until it expires, the voter grants
+//! nothing to any other claimant, while the same holder may renew the same epoch.
 //!
-//! A voter's promises are in memory only. A voter that has just been started knows none of the earlier ones, so it grants
-//! nothing for the length of a lease ([`Voter::new`]): by then every earlier promise has expired.
+//! A voter keeps its promises in memory only. A voter that has been started again knows none of its earlier promises,
+//! so it grants nothing for the duration of one lease ([`Voter::new`]), after which all of them have expired.
 
 use irisrouter_cluster_types::{Epoch, GatewayProcess, Milliseconds, Timestamp};
 
 /// A voter's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Vote {
-    /// The epoch is granted for the length of a lease from now on.
+    /// The epoch is granted for the duration of a lease from now on.
     Granted {
-        /// The other process to which this voter had granted the lease before; none where there was none, or where it was the
-        /// claimant itself. It held the lease only if a majority of the voters granted it too, which a voter does not know.
+        /// The process to which this voter had granted the lease before, or `None` if there was none or it was the
+        /// claimant itself. Whether that process held the lease is not known to a voter, because that takes a majority
+        /// of the voters.
         previous: Option<GatewayProcess>,
     },
-    /// Answer to a pre-vote: the lease is vacant, and a later epoch would be granted.
+    /// The answer to a pre-vote if the voter would grant the claimant a later epoch.
     Vacant {
         /// The latest epoch that this voter granted.
         latest_epoch: Epoch,
     },
-    /// Not granted.
+    /// The epoch is not granted, or in the answer to a pre-vote would not be.
     Refused {
         /// The latest epoch that this voter granted.
         latest_epoch: Epoch,
-        /// To whom, while that promise runs.
+        /// The process to which that epoch was granted. `None` if the promise has expired, or if there was none.
         holder: Option<GatewayProcess>,
-        /// How long the promise still runs.
+        /// Time from now until the voter may grant the lease to another claimant.
         remaining: Milliseconds,
     },
 }
 
-/// What one voter has promised about one task.
+/// The promise of one voter on the lease of one task.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Voter {
     epoch: Epoch,
@@ -43,7 +45,7 @@
 }
 
 impl Voter {
-    /// A voter whose process started at `started`. It grants nothing before the length of a lease has passed since then.
+    /// Creates a voter whose process started at `started`. It grants nothing until `lease` has passed since then.
     #[must_use]
     pub fn new(started: Timestamp, lease: Milliseconds) -> Self {
         Self {
@@ -53,7 +55,7 @@
         }
     }
 
-    /// A claimant requests an epoch: a new one, or its own again.
+    /// Votes on a request for an epoch, either a new epoch or the renewal of the one that `claimant` holds.
     pub fn request(
         &mut self,
         now: Timestamp,
@@ -76,7 +78,7 @@
         self.refusal(now)
     }
 
-    /// A claimant asks whether a later epoch would be granted. The answer promises nothing.
+    /// Answers whether the voter would grant `claimant` a later epoch. The answer is not a promise.
     #[must_use]
     pub fn pre_vote(&self, now: Timestamp, claimant: GatewayProcess) -> Vote {
         if now >= self.promised_until || self.holder == Some(claimant) {
@@ -97,14 +99,14 @@
         }
     }
 
-    /// A holder gives its epoch up. Has no effect where another holder or epoch was granted.
+    /// Ends the promise to `holder` because it releases its epoch. Has no effect if the latest grant is not this one.
     pub fn release(&mut self, now: Timestamp, holder: GatewayProcess, epoch: Epoch) {
         if self.holder == Some(holder) && self.epoch == epoch {
             self.promised_until = self.promised_until.min(now);
         }
     }
 
-    /// Whether no promise runs at `now`.
+    /// Returns whether the promise has expired at `now`.
     #[must_use]
     pub fn is_idle(&self, now: Timestamp) -> bool {
         now >= self.promised_until
--- a/crates/leases/src/voter_role.rs
+++ b/crates/leases/src/voter_role.rs
@@ -1,4 +1,4 @@
-//! This gateway as a voter: its promises on all tasks that it votes on.
+//! The voter role of this gateway: its promises for all tasks that it votes on.
 
 use crate::codec::{LeaseMessage, MessageKind};
 use crate::manager::MAX_TASKS;
@@ -6,10 +6,10 @@
 use irisrouter_cluster_types::{Epoch, GatewayId, GatewayProcess, Milliseconds, TaskId, Timestamp};
 use std::collections::BTreeMap;
 
-/// After this number of leases without a promise a voter's memory of a task may be dropped to make room.
+/// A voter's state for a task may be evicted once no promise has been in force for the duration of this many leases.
 const IDLE_LEASES: u64 = 10;
 
-/// This gateway as a voter.
+/// The state of this gateway as a voter, by task.
 pub(crate) struct VoterRole {
     local: GatewayId,
     settings: Settings,
@@ -18,7 +18,7 @@
 }
 
 impl VoterRole {
-    /// A voter whose process started at `started`.
+    /// Creates the voter role of a process that started at `started`.
     pub(crate) const fn new(local: GatewayId, settings: Settings, started: Timestamp) -> Self {
         Self {
             local,
@@ -28,13 +28,15 @@
         }
     }
 
-    /// The process receives requests only from `now` on: the time without grants starts again.
+    /// Records that the process began to receive requests only at `now`. Drops all promises and restarts the time
+    /// during which nothing is granted.
     pub(crate) fn restart(&mut self, now: Timestamp) {
         self.started = now;
         self.voters.clear();
     }
 
-    /// This gateway's vote on a request or a pre-vote. None where it is no voter of the task, or remembers too many tasks.
+    /// Returns this gateway's vote on a request or a pre-vote. Returns `None` if it is not a voter of the task, or if
+    /// it has reached the limit of tasks.
     pub(crate) fn vote(
         &mut self,
         now: Timestamp,
@@ -50,7 +52,7 @@
         Some(answer(message, vote))
     }
 
-    /// A holder gives its epoch up.
+    /// Ends the promise to a holder that releases its epoch.
     pub(crate) fn release(
         &mut self,
         now: Timestamp,
@@ -74,7 +76,8 @@
         Some(self.voters.entry(task).or_insert(new))
     }
 
-    /// Whether there is room for one more task, if necessary after dropping those that have long been idle.
+    /// Returns whether one more task fits the limit. If necessary, evicts tasks that have been idle for a long time
+    /// first.
     fn make_room(&mut self, now: Timestamp) -> bool {
         if self.voters.len() < MAX_TASKS {
             return true;
@@ -85,7 +88,7 @@
     }
 }
 
-/// The message that carries a vote.
+/// Returns the message that carries the vote on a request or a pre-vote.
 fn answer(question: &LeaseMessage, vote: Vote) -> LeaseMessage {
     match vote {
         Vote::Vacant { latest_epoch } => LeaseMessage {
--- a/crates/leases/tests/codec.rs
+++ b/crates/leases/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Tests of the datagram of leases.
+//! Property tests of the encoding of lease datagrams.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, Milliseconds, TaskId, Timestamp,
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Whole fleets in virtual time: every task has one holder at a time, epochs only grow, and the lease of a dead holder is
-//! taken over within the bound.
+//! Tests of simulated fleets: every task has at most one holder at a time, epochs only increase, and the lease of a
+//! dead holder is taken over within [`Settings::takeover_bound`](irisrouter_leases::Settings::takeover_bound).
 
 mod simulation;
 
@@ -52,7 +52,7 @@
     fleet.run(Milliseconds(5_000));
     assert_ne!(holder(&fleet), stalled, "no other gateway took it over");
     fleet.resume(stalled);
-    // Before it has received or done anything.
+    // The gateway has not yet received or processed anything since it resumed.
     assert_eq!(fleet.token(stalled, task), None);
     fleet.run(Milliseconds(2_000));
 }
@@ -66,7 +66,7 @@
         let other = GatewayId(other);
         fleet.cuts.extend([(one, other), (other, one)]);
     }
-    // For a while nobody has noticed.
+    // For two seconds the views of the gateways do not show the partition.
     fleet.run(Milliseconds(2_000));
     fleet.update_views();
     fleet.run(Milliseconds(8_000));
@@ -105,7 +105,7 @@
     Restart(GatewayId),
     Stall(GatewayId),
     Resume(GatewayId),
-    /// Datagrams from the first gateway to the second are lost.
+    /// All datagrams from the first gateway to the second are lost.
     Cut(GatewayId, GatewayId),
     Heal,
     Loss(u64),
@@ -116,7 +116,7 @@
     fn inject(self, fleet: &mut Fleet) {
         match self {
             Fault::Crash(gateway) => fleet.crash(gateway),
-            // The older process is gone, or was killed for the restart.
+            // The older process has crashed, or is killed by the restart.
             Fault::Restart(gateway) => fleet.restart(gateway),
             Fault::Stall(gateway) => fleet.stall(gateway),
             Fault::Resume(gateway) => fleet.resume(gateway),
@@ -142,7 +142,7 @@
     ]
 }
 
-/// Ends all faults: every gateway runs, and reaches every other.
+/// Ends all faults, so that every gateway runs and reaches every other one.
 fn heal(fleet: &mut Fleet) {
     fleet.cuts.clear();
     fleet.loss_percent = 0;
@@ -158,8 +158,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 60, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No sequence of faults ever gives a task two holders, or a holder an older epoch; and once all faults have ended, every
-    /// task has a holder.
+    /// Under any sequence of faults, no task has two holders and no lease is acquired with an older epoch. After all
+    /// faults have ended, every task has a holder again.
     #[test]
     fn lease_never_has_two_holders_and_is_never_lost_under_any_faults(
         seed in any::<u64>(),
--- a/crates/leases/tests/golden.rs
+++ b/crates/leases/tests/golden.rs
@@ -1,12 +1,13 @@
-//! Golden tests of the datagrams by which gateways claim, grant and release leases.
+//! Golden tests of the datagrams with which gateways claim, grant and release leases.
 //!
-//! Pinned are the exact bytes of every kind of message, what the decoder says of these bytes and of malformed ones, and the
-//! orders by which a task's candidates and voters are found. A fleet is upgraded one gateway at a time, so gateways of the old
-//! and the new version exchange these datagrams with each other and have to find the same candidates and voters: a change of
-//! a single byte would leave tasks without a lease holder, and other voters could grant one lease to two gateways at once. A
-//! refactoring must leave every literal in this file as it is; a wanted change of the format needs a new first byte.
+//! The tests pin the exact bytes of every kind of message, the decoder's results for these bytes and for malformed
+//! ones, and the orders of a task's candidates and voters. A fleet is upgraded one gateway at a time, so gateways of
+//! the old and the new version exchange these datagrams and have to determine the same candidates and voters. A change
+//! of a single byte would leave tasks without a holder, and gateways that determine different voters could grant one
+//! lease to two holders at once. A refactoring must leave every literal in this file unchanged. An intended change of
+//! the format needs a new first byte.
 //!
-//! Literals are groups of hex digits, one group for each field of the layout; the white space between them means nothing.
+//! The literals are groups of hex digits, one group for each field of the layout. White space in them is ignored.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, Milliseconds, TaskId,
@@ -22,9 +23,9 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: all messages that are pinned here are built in this part of the file.
+// Test values: the functions that build the messages of the tests.
 
-/// The sender's generation.
+/// Generation of the sender of all datagrams in these tests.
 const GENERATION: Generation = Generation(0x0a0b);
 
 fn message(kind: MessageKind) -> LeaseMessage {
@@ -41,7 +42,7 @@
     }
 }
 
-/// No holder, and no time remaining.
+/// Returns a message with no holder and no remaining time.
 fn bare(kind: MessageKind) -> LeaseMessage {
     LeaseMessage {
         holder: None,
@@ -71,7 +72,7 @@
     }
 }
 
-/// A holder whose number is the one that stands for none.
+/// Returns a message whose holder has the gateway id that encodes the absence of a holder.
 fn with_holder_that_stands_for_none() -> LeaseMessage {
     LeaseMessage {
         holder: Some(GatewayProcess {
@@ -82,7 +83,7 @@
     }
 }
 
-/// Messages that differ in every field; the ninth has no holder.
+/// Returns messages of all kinds in turn, whose other fields all differ. The ninth message has no holder.
 fn many(count: u32) -> Vec<LeaseMessage> {
     let kinds = [
         MessageKind::Request,
@@ -114,7 +115,7 @@
     expected.split_whitespace().collect()
 }
 
-/// A datagram of these messages has these bytes, and is `read` from them.
+/// Asserts that the messages are encoded as `expected`, and that these bytes are decoded as the messages in `read`.
 #[track_caller]
 fn pins_as(messages: &[LeaseMessage], expected: &str, read: &[LeaseMessage]) {
     let bytes = encode(GENERATION, messages);
@@ -142,7 +143,7 @@
     );
 }
 
-// The bytes.
+// Encoding.
 
 #[test]
 fn bounds_and_first_byte_keep_their_values() {
@@ -264,7 +265,7 @@
     );
 }
 
-// What is refused.
+// Malformed datagrams.
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
@@ -365,22 +366,23 @@
     );
 }
 
-// Numbers on which all gateways agree.
+// Orders on which all gateways have to agree.
 
-/// The numbers of the candidates of a task among these gateways, in their order.
+/// Returns the gateway ids of the candidates of a task, in order, if these gateways are alive.
 fn candidate_numbers(task: u64, alive: &[u32]) -> Vec<u32> {
     let alive: Vec<GatewayId> = alive.iter().copied().map(GatewayId).collect();
     let order = candidates(TaskId(task), &alive);
     order.into_iter().map(|gateway| gateway.0).collect()
 }
 
-/// The numbers of the voters of a task in a fleet of this size, in their order.
+/// Returns the gateway ids of the voters of a task in a fleet of this size, in order.
 fn voter_numbers(task: u64, fleet: u32) -> Vec<u32> {
     let order = voters(TaskId(task), fleet);
     order.into_iter().map(|gateway| gateway.0).collect()
 }
 
-/// Sets 0, 1, 42 and -7, the drains of three hosts, the watch of the list, the plans of sites, and the largest number.
+/// Task ids: the health checks of groups 0, 1, 42 and -7, the drains of three hosts, the watch of the endpoint list,
+/// the planning of site failover, and the largest possible id.
 const TASKS: [u64; 10] = [
     0,
     1,
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -1,4 +1,4 @@
-//! Tests of one [`LeaseManager`], whose peers are played by the test.
+//! Tests of a single [`LeaseManager`]. The test itself answers in place of the peers.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, Milliseconds, TaskId, Timestamp, UnixMilliseconds,
@@ -7,7 +7,7 @@
 use irisrouter_leases::{rendezvous, Action, LeaseManager, PartitionSide, Settings};
 
 const LEASE: Milliseconds = Milliseconds(1_000);
-/// The wall clock at the origin of the gateways' clock.
+/// Wall clock time at the origin of the gateways' clock.
 const CLOCK_ORIGIN: UnixMilliseconds = UnixMilliseconds(1_000);
 
 fn at(since_start: Milliseconds) -> Timestamp {
@@ -75,9 +75,9 @@
     sent
 }
 
-/// Two candidates that stood by, each with the grant of a voter that had just been started again, superseded every holder
-/// in turn, and the task had none for six leases. Found by the property test of the fleet. So nothing is requested before
-/// a majority would grant it.
+/// Requests are sent only after a majority has answered the pre-vote that it would grant them. Without this, two
+/// candidates on standby, each with the grant of a voter that had just been restarted, superseded every holder in turn,
+/// and the task had no holder for six leases. The property test in `fleet.rs` found this failure.
 #[test]
 fn claim_starts_only_when_a_majority_answers_the_pre_vote() {
     let fleet: Vec<GatewayId> = (0..5).map(GatewayId).collect();
@@ -93,7 +93,8 @@
         .iter()
         .all(|sent| sent.message.kind == MessageKind::PreVote);
     assert!(all_pre_votes, "{pre_votes:?}");
-    // Its own vote does not count yet, as it has just been started. Two of the four others are no majority of five.
+    // The gateway's own vote does not count yet because it has just been started. Two votes of the other four gateways
+    // are not a majority of five.
     let answered = at(LEASE / 5 + Milliseconds(1));
     for (index, pre_vote) in pre_votes.iter().enumerate() {
         let vacant = LeaseMessage {
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,11 +1,14 @@
-//! Lease, epoch and handover, checked exhaustively at small size with stateright on the package's own [`Voter`] and [`Claim`]:
-//! two claimants, three voters, every order of requests and answers, any of which may never arrive, a voter that is started
-//! again, and a claimant that reads its token, is stalled, and acts later.
+//! Exhaustive model checking of leases, epochs and changes of holder with stateright, on the package's own [`Voter`] and
+//! [`Claim`].
 //!
-//! - no two claimants hold the lease at the same time;
-//! - a host that remembers the latest token accepts none that is older than one it accepted;
-//! - without that check at the host, a stalled holder's act is accepted after its successor's: the model finds it;
-//! - if a voter that is started again granted at once, two claimants would hold the lease: the model finds it.
+//! The model has two claimants and three voters. It covers every order of requests and answers, any of which may be
+//! lost, a voter that is restarted, and a claimant that reads its token, is stalled, and performs its operation later.
+//!
+//! - No two claimants hold the lease at the same time.
+//! - A host that remembers the latest token accepts no operation with an older one.
+//! - If the host does not check tokens, it accepts the operation of a stalled holder after that of its successor. The
+//!   model must find this violation.
+//! - If a restarted voter grants at once, two claimants hold the lease. The model must find this violation.
 
 use irisrouter_cluster_types::{Epoch, GatewayId, GatewayProcess, Milliseconds, Timestamp};
 use irisrouter_leases::{Claim, LeaseTerms, Vote, Voter};
@@ -18,11 +21,12 @@
 };
 const VOTERS: usize = 3;
 const CLAIMANTS: usize = 2;
-/// The run ends at this time.
+/// Time at which each run of the model ends.
 const END: Timestamp = Timestamp::from_millis(4);
-/// Time passes in steps of this length.
+/// Duration by which time advances in one step.
 const TICK: Milliseconds = Milliseconds(1);
-/// The check fails where there are more states, as it has to end and to be complete.
+/// Maximum number of states that the checker visits. A check that has to visit all states fails at this limit, because
+/// it would be incomplete.
 const MAX_STATES: usize = 16_000_000;
 
 const ONE_HOLDER: &str = "one holder";
@@ -54,17 +58,17 @@
     now: Timestamp,
     voters: Vec<Voter>,
     claims: Vec<Claim>,
-    /// How many rounds of requests each claimant may still start.
+    /// Number of rounds of requests that each claimant may still start.
     rounds_left: Vec<u8>,
-    /// When each claimant last requested.
+    /// Time of the latest round of requests of each claimant.
     last_request: Vec<Timestamp>,
     restarts_left: u8,
     messages: Vec<Message>,
-    /// The token that each claimant has read and not acted on yet.
+    /// For each claimant, the token that it has read and not yet used for an operation.
     token_read: Vec<Option<Epoch>>,
-    /// The latest token that the host saw.
+    /// The latest token that the host has seen.
     latest_token: Epoch,
-    /// Whether the host accepted an older token after it.
+    /// Whether the host has accepted an operation with an older token than the latest.
     older_act_accepted: bool,
 }
 
@@ -80,14 +84,14 @@
 }
 
 struct LeaseModel {
-    /// The host refuses older tokens.
+    /// Whether the host rejects operations with older tokens.
     host_checks_tokens: bool,
-    /// A voter that is started again grants nothing for the length of a lease.
+    /// Whether a restarted voter grants nothing for the duration of a lease.
     voter_waits: bool,
     restarts: u8,
-    /// Claimants may read their tokens and act later.
+    /// Whether claimants may read their tokens and perform their operations later.
     claimants_act: bool,
-    /// Rounds of requests of each claimant.
+    /// Number of rounds of requests that each claimant may start.
     rounds: [u8; CLAIMANTS],
 }
 
@@ -156,7 +160,7 @@
         }
     }
 
-    /// Drops messages that can't change anything any more, so that fewer states differ.
+    /// Drops messages that have no effect any more, to reduce the number of distinct states.
     fn drop_ineffective_messages(&mut self) {
         let claims = &self.claims;
         self.messages.retain(|message| match message {
@@ -197,7 +201,7 @@
         }
         for claimant in 0..CLAIMANTS {
             let holds = state.token(claimant).is_some();
-            // Requesting twice in one moment adds nothing.
+            // A second round of requests at the same time would have no effect.
             let may_request =
                 state.rounds_left[claimant] > 0 && state.now > state.last_request[claimant];
             if may_request && !holds {
@@ -214,7 +218,8 @@
             }
         }
         for index in 0..state.messages.len() {
-            // Equal messages are one and the same choice. A message that never arrives is the same as a lost one.
+            // Equal messages lead to the same state, so only the first is a choice. A lost message is one that is never
+            // delivered.
             if index == 0 || state.messages[index] != state.messages[index - 1] {
                 steps.push(Step::Deliver(index));
             }
@@ -270,14 +275,14 @@
     }
 }
 
-/// Whether all states have to be visited, or only those up to the first violation.
+/// Whether the checker has to visit all states, or may stop at [`MAX_STATES`] because a violation is expected.
 #[derive(PartialEq)]
 enum Coverage {
     AllStates,
     UntilViolation,
 }
 
-/// Which of the first two properties a run violates.
+/// Which of the properties that must always hold are violated.
 #[derive(Debug, PartialEq)]
 struct Violations {
     two_holders: bool,
--- a/crates/leases/tests/previous_holder.rs
+++ b/crates/leases/tests/previous_holder.rs
@@ -1,7 +1,8 @@
-//! Whom a takeover names as the holder before.
+//! Tests of the previous holder that a takeover reports in [`LeaseChange::TakenOver`].
 //!
-//! A voter knows to whom it granted the lease last. It does not know whether a majority did the same, so where two
-//! candidates claim at once, the one that succeeds may name the other, which never held the lease.
+//! A voter knows to which process it granted the lease most recently. It does not know whether a majority of the voters
+//! did the same. If two candidates claim at the same time, the one that succeeds may therefore report the other as the
+//! previous holder, although the other never held the lease.
 
 mod simulation;
 
@@ -14,7 +15,7 @@
 const TASK: TaskId = TaskId(0);
 const FLEET: u32 = 4;
 
-/// The candidates of the task by rank; the first holds the lease, and has been started again once before.
+/// The candidates of the task by rank. The first one holds the lease, and has been restarted once before.
 struct Candidates {
     first: GatewayProcess,
     second: GatewayId,
@@ -22,7 +23,7 @@
     fourth: GatewayId,
 }
 
-/// A fleet in which the first candidate holds the lease.
+/// Returns a fleet in which the first candidate holds the lease, and the candidates.
 fn settled_fleet(seed: u64) -> (Fleet, Candidates) {
     let mut fleet = Fleet::new(FLEET, 1, seed);
     let gateways: Vec<GatewayId> = fleet.gateway_ids().collect();
@@ -49,7 +50,8 @@
     (fleet, candidates)
 }
 
-/// The first acquisition after the holder's death, which must be by another gateway.
+/// Returns the first acquisition after the holder's death, and checks that it is by another process. `before` is the
+/// number of acquisitions up to the holder's death.
 fn takeover(fleet: &Fleet, before: usize, dead: GatewayProcess) -> Acquisition {
     let takeover = fleet.acquisitions[before];
     assert_ne!(takeover.holder, dead);
@@ -86,7 +88,7 @@
         let claimants = [candidates.second, candidates.third];
         let before = fleet.acquisitions.len();
         fleet.crash(candidates.first.gateway);
-        // Both find the lease vacant when they resume, and claim it in the same moment.
+        // Both gateways find the lease vacant when they resume, and claim it at the same time.
         for claimant in claimants {
             fleet.stall(claimant);
         }
@@ -130,7 +132,8 @@
     let mut voter = Voter::new(Timestamp::ZERO, LEASE);
     let first = voter.request(at(LEASE), LEASE, holder, Epoch(10));
     assert_eq!(first, Vote::Granted { previous: None });
-    // The holder dies, and its promise expires. One claimant gets this vote and too few others, and releases it.
+    // The holder dies and the promise to it expires. The losing claimant obtains the grant of this voter, but not of a
+    // majority, and releases it.
     let split = voter.request(at(LEASE * 2), LEASE, loser, Epoch(20));
     let previous = Some(holder);
     assert_eq!(split, Vote::Granted { previous });
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -1,4 +1,4 @@
-//! Tests of the order of gateways for a task.
+//! Tests of the rendezvous order of the gateways for a task.
 
 use irisrouter_cluster_types::{GatewayId, TaskId};
 use irisrouter_leases::rendezvous::{candidates, voters, VOTERS};
--- a/crates/leases/tests/settings.rs
+++ b/crates/leases/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of the settings' limits. Operators see the texts when their file is refused.
+//! Tests of the limits of the settings. Operators see the error messages when their file is rejected.
 
 use irisrouter_cluster_types::Milliseconds;
 use irisrouter_leases::Settings;
--- a/crates/leases/tests/simulation/mod.rs
+++ b/crates/leases/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A whole fleet of [`LeaseManager`]s on a simulated network, in virtual time and seeded: crashes, restarts, stalls, network
-//! partitions and loss, with views that lag behind. At every step no task may have two holders, and epochs may only grow.
+//! Simulation of a fleet of [`LeaseManager`]s on a network, in virtual time and with a seed. The faults are crashes,
+//! restarts, stalls, network partitions, lost datagrams, and views of the fleet that are out of date. Each step checks
+//! that no task has two holders. Each acquisition checks that epochs only increase.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, Milliseconds, TaskId, Timestamp, UnixMilliseconds,
@@ -11,11 +12,11 @@
 
 pub const LEASE: Milliseconds = Milliseconds(1_000);
 
-/// The time between two steps of the simulation.
+/// Virtual time between two steps of the simulation.
 const STEP: Milliseconds = Milliseconds(5);
-/// The wall clock at the start of the simulation.
+/// Wall clock time at the start of the simulation.
 const UNIX_START: UnixMilliseconds = UnixMilliseconds(1_000_000);
-/// Each datagram is under way for at least this time.
+/// Minimum latency of a datagram.
 const SHORTEST_LATENCY: Milliseconds = Milliseconds(1);
 
 pub struct Gateway {
@@ -40,7 +41,8 @@
     }
 }
 
-/// When a datagram arrives, and its number among all that were sent: datagrams arrive in this order.
+/// Sort key of the datagrams in flight. Datagrams that arrive at the same time are delivered in the order in which they
+/// were sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Timestamp,
@@ -53,7 +55,7 @@
     bytes: Vec<u8>,
 }
 
-/// A lease that a gateway acquired, as it announced it.
+/// An acquisition of a lease, as the gateway announced it with [`Action::Acquired`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Acquisition {
     pub task: TaskId,
@@ -62,7 +64,7 @@
     pub change: LeaseChange,
 }
 
-/// The latest epoch under which anybody held a lease, and who.
+/// The latest epoch under which a lease was acquired, and its holder.
 #[derive(Debug, Clone, Copy)]
 pub struct LatestHolder {
     pub epoch: Epoch,
@@ -77,16 +79,16 @@
     sent_in_order: u64,
     rng: SmallRng,
     pub loss_percent: u64,
-    /// Pairs of gateways whose datagrams in this direction are lost.
+    /// Pairs of a sender and a receiver. All datagrams from the sender to the receiver are lost.
     pub cuts: BTreeSet<(GatewayId, GatewayId)>,
     pub latest: BTreeMap<TaskId, LatestHolder>,
-    /// All leases that were acquired, in order.
+    /// All acquisitions, in the order in which they were announced.
     pub acquisitions: Vec<Acquisition>,
-    /// When each task last had a holder that runs.
+    /// For each task, the latest time at which a gateway that is not stalled held its lease.
     last_held: BTreeMap<TaskId, Timestamp>,
-    /// The longest time for which a task had no holder that runs.
+    /// The longest time during which no gateway that is not stalled held the lease on a task.
     pub longest_gap: Milliseconds,
-    /// How many datagrams were sent.
+    /// Number of datagrams sent, including those that were lost.
     pub sent: u64,
 }
 
@@ -123,7 +125,7 @@
         fleet
     }
 
-    /// Every gateway learns which gateways are up and on its side of a network partition.
+    /// Informs every gateway which gateways are up and on its side of a network partition.
     pub fn update_views(&mut self) {
         let up: Vec<GatewayId> = self
             .gateway_ids()
@@ -279,7 +281,7 @@
                 self.now.as_millis(),
                 holders.len()
             );
-            // A gateway that is stalled holds the lease and does nothing.
+            // A stalled gateway may hold the lease, but performs no work.
             let acts = holders.first().is_some_and(|gateway| !gateway.stalled);
             let last_held = self.last_held.entry(task).or_insert(self.now);
             if acts {
--- a/crates/write-intents/src/action.rs
+++ b/crates/write-intents/src/action.rs
@@ -1,27 +1,27 @@
-//! What the caller of [`IntentStore`](crate::IntentStore) has to do.
+//! Actions that the caller of [`IntentStore`](crate::IntentStore) has to carry out.
 
 use irisrouter_cluster_types::{GatewayId, UnixMilliseconds};
 
-/// The number of a record or look-up that this gateway has started.
+/// Identifies a record operation or a look-up that this gateway has started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct OperationId(pub u64);
 
-/// The result of a record or a look-up.
+/// The outcome of a record operation or a look-up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Record: enough replicas acknowledged it, and the write may be sent.
+    /// Record operation: enough replicas acknowledged it, and the write may be sent.
     Recorded,
-    /// Record: too few replicas answered, and the write may not be sent.
+    /// Record operation: too few replicas acknowledged it, and the write must not be sent.
     NotRecorded,
     /// Look-up: the write may have run from this time on.
     MayHaveRunSince(UnixMilliseconds),
     /// Look-up: the write was never sent.
     NeverSent,
-    /// Look-up: too few gateways answered.
+    /// Look-up: too few gateways answered, so the write may have run.
     Unproven,
 }
 
-/// What the caller has to do.
+/// An action that the caller has to carry out.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Action {
     /// Send a datagram to a gateway.
@@ -31,11 +31,11 @@
         /// The datagram, at most 256 bytes long.
         bytes: Vec<u8>,
     },
-    /// A record or look-up of the caller's has ended.
+    /// A record operation or a look-up has ended.
     Ended {
-        /// As returned by `IntentStore::record` or `IntentStore::look_up`.
+        /// The id that `IntentStore::record` or `IntentStore::look_up` returned.
         operation: OperationId,
-        /// Its result.
+        /// The outcome of the operation.
         outcome: Outcome,
     },
 }
--- a/crates/write-intents/src/codec.rs
+++ b/crates/write-intents/src/codec.rs
@@ -1,11 +1,12 @@
-//! The datagram of write intents: records, look-ups and their answers, several in one datagram, bounded and versioned.
+//! Encoding of the write intent datagrams, which carry records, look-ups and their answers. A datagram holds several
+//! messages. Its size is limited, and its first byte states the version.
 //!
 //! ```text
 //! 0      magic and version: 0xC1 (`irisrouter_datagram::magic` lists all protocols on the peer socket)
 //! 1      count of messages, then 17 bytes each:
 //! 0      kind: 0 record, 1 acknowledged, 2 look up, 3 found, 4 not found, 5 withdraw
 //! 1..9   key (u64, big-endian)
-//! 9..17  Unix milliseconds (u64): of the first attempt that may have run; 0 where the kind has none
+//! 9..17  Unix milliseconds (u64) of the first attempt that may have run; 0 if the kind carries no time
 //! ```
 
 use crate::KeyHash;
@@ -16,30 +17,30 @@
 pub use irisrouter_datagram::magic::WRITE_INTENTS as MAGIC;
 pub use irisrouter_datagram::{WireError, MAX_DATAGRAM_BYTES};
 
-/// The time of a message whose kind has none.
+/// Time field of a message whose kind carries no time.
 const NO_TIME: UnixMilliseconds = UnixMilliseconds(0);
 
-/// How many messages fit one datagram.
+/// Maximum number of messages in one datagram.
 pub const MAX_MESSAGES: usize = max_items::<(), IntentMessage>();
 
-/// What a message says about a key.
+/// The kind of a message about a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MessageKind {
-    /// A writer asks a replica to record that a write of this key may have run from the given time on.
+    /// A writer asks a replica to record that a write with this key may have run from the given time on.
     Record,
-    /// A replica has the record with the given time.
+    /// A replica acknowledges the record with the given time.
     Acknowledged,
-    /// A gateway asks what is recorded of the key.
+    /// A gateway asks whether there is a record of the key.
     LookUp,
-    /// A write of the key may have run from the given time on.
+    /// Answer to a look-up: a write with this key may have run from the given time on.
     Found,
-    /// Nothing is recorded of the key.
+    /// Answer to a look-up: there is no record of the key.
     NotFound,
-    /// The write that the sender had recorded never ran.
+    /// A writer withdraws its record because the write never ran.
     Withdraw,
 }
 
-/// All kinds; the index of a kind is its number in the datagram.
+/// All kinds. The index of a kind is its number in the datagram.
 const KINDS: [MessageKind; 6] = [
     MessageKind::Record,
     MessageKind::Acknowledged,
@@ -52,16 +53,16 @@
 /// One message about one key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct IntentMessage {
-    /// What the message says.
+    /// The kind of the message.
     pub kind: MessageKind,
     /// The key that the message is about.
     pub key: KeyHash,
-    /// The time of the first attempt that may have run; 0 where the kind has none.
+    /// Time of the first attempt that may have run, or 0 if the kind carries no time.
     pub first_sent_at: UnixMilliseconds,
 }
 
 impl IntentMessage {
-    /// A message without a time.
+    /// Creates a message without a time.
     #[must_use]
     pub const fn new(kind: MessageKind, key: KeyHash) -> Self {
         Self {
@@ -76,7 +77,7 @@
     const ENCODED_BYTES: usize = 17;
 
     fn encode(&self, buffer: &mut Vec<u8>) {
-        // A kind's number is its index in KINDS: both are in the same order.
+        // The variants of MessageKind and the entries of KINDS are in the same order.
         buffer.put_u8(self.kind as u8);
         buffer.put_u64(self.key.0);
         buffer.put_u64(self.first_sent_at.0);
@@ -91,7 +92,7 @@
     }
 }
 
-/// Encodes a datagram with up to [`MAX_MESSAGES`] messages; messages beyond that are left out.
+/// Encodes a datagram with up to [`MAX_MESSAGES`] messages. Any further messages are omitted.
 #[must_use]
 pub fn encode(messages: &[IntentMessage]) -> Vec<u8> {
     encode_items(MAGIC, &(), messages)
@@ -100,12 +101,13 @@
 /// Decodes a datagram.
 ///
 /// # Errors
-/// The datagram is of another protocol or version, is not as long as its count announces, or has an unknown kind.
+/// The datagram is of another protocol or version, its size does not match its message count, or a message is of an
+/// unknown kind.
 pub fn decode(datagram: &[u8]) -> Result<Vec<IntentMessage>, WireError> {
     decode_items::<(), IntentMessage>(MAGIC, datagram).map(|list| list.items)
 }
 
-/// Whether a datagram belongs to write intents, in whatever version, by its first byte.
+/// Returns whether the first byte of a datagram identifies it as a write intent datagram, of any version.
 #[must_use]
 pub fn recognizes(datagram: &[u8]) -> bool {
     has_magic(datagram, MAGIC)
--- a/crates/write-intents/src/lib.rs
+++ b/crates/write-intents/src/lib.rs
@@ -1,23 +1,25 @@
-//! Write intents: a keyed write is recorded with other gateways before it is sent, so that a write whose gateway dies is
-//! applied at most once when its client sends it again to another gateway.
+//! Write intents: a gateway records a keyed write at other gateways before it sends the write. If the gateway dies and
+//! the client retries the write through another gateway, the write is still applied at most once.
 //!
-//! Database hosts discard a repeat of a key within a window that counts from the first attempt. After the window, a repeat
-//! would be applied again. The gateway that sent a key knows when that was; once it is dead, no gateway does. So before the
-//! first byte of a keyed write leaves, its gateway records the time with two others, the key's replicas, and waits for their
-//! acknowledgement. A gateway that receives a repeat looks the key up at the replicas first:
+//! Database hosts discard a repeated key within a window that starts at the first attempt. After the window, a repeated
+//! write would be applied again. Only the gateway that sent the key knows when the window started, and this knowledge
+//! is lost if the gateway dies. Therefore a gateway records the time at two other gateways, the replicas of the key,
+//! and waits for their acknowledgements before it sends the first byte of a keyed write. A gateway that receives a
+//! repeated write looks the key up at the replicas first:
 //!
-//! - found: the write may be sent again while the window, counted from the recorded time, lasts; after that, and whatever the
-//!   host answers meanwhile, the result is that the write may have run;
-//! - not found at enough of them: the write was never sent, and is a write like any other;
-//! - too few answer: nothing is proven, and the write may have run.
+//! - Found: the write may be sent again until the window, which starts at the recorded time, has passed. After that,
+//!   the result is that the write may have run, whatever the host answered in the meantime.
+//! - Not found, according to enough gateways: the write was never sent, and is processed like any new write.
+//! - Too few answers: the look-up is inconclusive, and the write may have run.
 //!
-//! The replicas of a key are chosen by rendezvous hashing over the gateways that the local one does not consider down. A
-//! writer needs the acknowledgement of [`REPLICAS`] of the first [`RECORD_CANDIDATES`], itself left out. A gateway with a
-//! repeat asks the first [`LOOKUP_CANDIDATES`], and takes the key for never sent only if at most [`MAX_SILENT`] of them do not
-//! answer. With two replicas and one silent gateway, at least one replica answers. A gateway that has just been started may
-//! have had records that it lost; for the length of [`RETENTION`] it does not answer for keys that it does not know.
+//! The replicas of a key are chosen by rendezvous hashing among the gateways that the local gateway does not consider
+//! down. A writer needs the acknowledgements of [`REPLICAS`] of the first [`RECORD_CANDIDATES`] other gateways. A
+//! gateway that looks a key up asks the first [`LOOKUP_CANDIDATES`] other gateways, and concludes that the write was
+//! never sent only if at most [`MAX_SILENT`] of them do not answer. With two replicas and one gateway that does not
+//! answer, at least one replica answers. A gateway that was started recently may have lost records of an earlier
+//! process. Until [`RETENTION`] has passed since its start, it does not answer look-ups of keys that it does not know.
 //!
-//! The package does no I/O, reads no clock and starts no tasks.
+//! The package does no I/O, reads no clock and spawns no async tasks.
 
 mod action;
 pub mod codec;
--- a/crates/write-intents/src/operation.rs
+++ b/crates/write-intents/src/operation.rs
@@ -1,30 +1,31 @@
-//! A record or a look-up that this gateway has under way.
+//! A record operation or a look-up of this gateway that is in progress.
 
 use crate::codec::{IntentMessage, MessageKind};
 use crate::replicas::{LOOKUP_CANDIDATES, RECORD_CANDIDATES, REPLICAS};
 use crate::{KeyHash, OperationId, Outcome};
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp, UnixMilliseconds};
 
-/// In a look-up this many of the gateways asked may be silent: the gateway that died.
+/// Maximum number of gateways that may leave a look-up unanswered without making it inconclusive. One, for the gateway
+/// that died.
 pub const MAX_SILENT: usize = 1;
-/// A record or look-up is sent again after this time without an answer.
+/// Interval at which a message is sent again to the gateways that have not answered it.
 const RESEND_INTERVAL: Milliseconds = Milliseconds(10);
-/// After this time, a gateway that has not answered a look-up counts as silent.
+/// Time from the start of a look-up after which it ends even if up to [`MAX_SILENT`] gateways have not answered.
 const SILENCE_TIMEOUT: Milliseconds = Milliseconds(40);
-/// After this time a record has failed, and a look-up is unproven.
+/// Time from the start of an operation after which a record operation has failed and a look-up is inconclusive.
 const OPERATION_TIMEOUT: Milliseconds = Milliseconds(120);
 
-/// What an operation is for.
+/// The purpose of an operation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Purpose {
-    /// Record that a write may have run from this time on.
+    /// Records at the replicas that a write may have run from `first_sent_at` on.
     Record { first_sent_at: UnixMilliseconds },
-    /// Find out whether a write may have run.
+    /// Determines whether a write may have run.
     LookUp,
 }
 
 impl Purpose {
-    /// How many gateways are candidates to be asked.
+    /// Returns the maximum number of gateways to which the operation is sent.
     pub(crate) const fn candidates(self) -> usize {
         match self {
             Self::Record { .. } => RECORD_CANDIDATES,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The outcome where too few gateways answer, or none can be asked.
+    /// Returns the outcome of an operation that too few gateways answer, or that exceeds the limit of operations.
     pub(crate) const fn failure(self) -> Outcome {
         match self {
             Self::Record { .. } => Outcome::NotRecorded,
@@ -41,24 +42,24 @@
     }
 }
 
-/// Whether the records of an earlier process of this gateway may still matter.
+/// Whether this gateway knows all records that it has received within [`RETENTION`](crate::RETENTION).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum LocalMemory {
-    /// All that this gateway recorded within the retention is known.
+    /// All of these records are known.
     Complete,
-    /// The process was started less than the retention ago, and may have lost records.
+    /// This process was started so recently that records of an earlier process may be lost.
     MayBeLost,
 }
 
-/// A record or a look-up under way.
+/// A record operation or a look-up in progress.
 pub(crate) struct Operation {
     pub(crate) id: OperationId,
     pub(crate) key: KeyHash,
     pub(crate) purpose: Purpose,
     pub(crate) next_send: Timestamp,
-    /// The gateways to ask, the first replica first.
+    /// The gateways to which the operation may be sent, in the replica order of the key.
     candidates: Vec<GatewayId>,
-    /// How many of `candidates` have been asked.
+    /// Number of `candidates` to which the operation has been sent, from the first one on.
     asked: usize,
     answered: Vec<GatewayId>,
     started: Timestamp,
@@ -66,7 +67,7 @@
 }
 
 impl Operation {
-    /// An operation that starts at `now`, among these gateways.
+    /// Creates an operation that starts at `now`.
     pub(crate) const fn new(
         id: OperationId,
         key: KeyHash,
@@ -88,8 +89,9 @@
         }
     }
 
-    /// The message to send now, and to whom; nobody where none is due. A record is sent to two gateways first, and to one
-    /// more each time, as one of them may be dead. A look-up is sent to all candidates.
+    /// Returns the message that is due at `now` and its destinations, or `None` if no message is due. A record is first
+    /// sent to two gateways, and to one more with each repetition because one of them may be dead. A look-up is sent to
+    /// all candidates.
     pub(crate) fn due_message(&mut self, now: Timestamp) -> Option<OutgoingMessage> {
         if self.next_send > now {
             return None;
@@ -121,8 +123,8 @@
         }
     }
 
-    /// Processes the answer of a gateway, and returns the outcome if it is decided by that. Answers to other operations, and
-    /// from gateways that are no candidates, are ignored.
+    /// Processes the answer of a gateway, and returns the outcome if the answer decides it. Answers to other operations
+    /// and answers of gateways that are not candidates are ignored.
     pub(crate) fn process_answer(
         &mut self,
         from: GatewayId,
@@ -146,18 +148,19 @@
         if !self.answered.contains(&from) {
             self.answered.push(from);
         }
-        // An answer decides by itself, and not by the time at which it arrives, so the outcome is that at the start.
+        // An answer decides the outcome regardless of its arrival time, so the timeouts are not evaluated here.
         decided.or_else(|| self.outcome(self.started))
     }
 
-    /// The outcome, if there is one by `now`.
+    /// Returns the outcome if the answers and the timeouts decide it at `now`.
     pub(crate) fn outcome(&self, now: Timestamp) -> Option<Outcome> {
         let waited = now.saturating_duration_since(self.started);
         let decided = match self.purpose {
             Purpose::Record { .. } => self.record_outcome(),
             Purpose::LookUp => self.look_up_outcome(waited),
         };
-        // Where the only other gateway is dead or silent, nothing is proven to have been recorded.
+        // If the only other gateway is dead or does not answer, a record can't be confirmed and a look-up is
+        // inconclusive.
         let timed_out = waited >= OPERATION_TIMEOUT;
         decided.or(timed_out.then_some(self.purpose.failure()))
     }
@@ -168,7 +171,7 @@
     }
 
     fn look_up_outcome(&self, waited: Milliseconds) -> Option<Outcome> {
-        // A gateway that may have lost records itself counts as one more that is silent.
+        // If the local gateway may have lost records, it counts as one more gateway that does not answer.
         let locally_silent = usize::from(self.local_memory == LocalMemory::MayBeLost);
         let silent = self.candidates.len() - self.answered.len() + locally_silent;
         let few_are_silent = silent <= MAX_SILENT && !self.answered.is_empty();
@@ -177,7 +180,7 @@
     }
 }
 
-/// A message, and the gateways to which it goes.
+/// A message and the gateways to which it is sent.
 pub(crate) struct OutgoingMessage {
     pub(crate) to: Vec<GatewayId>,
     pub(crate) message: IntentMessage,
--- a/crates/write-intents/src/replicas.rs
+++ b/crates/write-intents/src/replicas.rs
@@ -1,19 +1,21 @@
-//! Which gateways hold the record of a key.
+//! Chooses the gateways that hold the record of a key.
 
 use crate::KeyHash;
 use irisrouter_cluster_types::GatewayId;
 use std::cmp::Reverse;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How many gateways have to acknowledge a record before the write is sent; all others that are up where there are fewer.
+/// Number of gateways that have to acknowledge a record before the write is sent. If fewer other gateways are up, all
+/// of them have to.
 pub const REPLICAS: usize = 2;
-/// The replicas are among this many gateways, the first in the key's order.
+/// Number of gateways among which the replicas are: the first ones in the replica order of the key.
 pub const RECORD_CANDIDATES: usize = 4;
-/// A look-up asks this many gateways. More than [`RECORD_CANDIDATES`], as the views of two gateways may differ by one
-/// gateway, and each leaves itself out.
+/// Number of gateways that a look-up asks. It is greater than [`RECORD_CANDIDATES`] because the views of two gateways
+/// may differ by one gateway, and because each gateway excludes itself.
 pub const LOOKUP_CANDIDATES: usize = 6;
 
-/// Gateways in the order in which they are replicas of a key: rendezvous hashing. Equal weights are ordered by number.
+/// Returns the gateways in their order of preference as replicas of a key, by rendezvous hashing. Gateways of equal
+/// weight are ordered by id.
 #[must_use]
 pub fn replica_order(key: KeyHash, gateways: &[GatewayId]) -> Vec<GatewayId> {
     let weight = |gateway: GatewayId| xxh3_64_with_seed(&gateway.0.to_be_bytes(), key.0);
@@ -22,7 +24,7 @@
     ordered
 }
 
-/// The first `count` gateways in the order of a key, without `local_gateway`.
+/// Returns the first `count` gateways in the replica order of a key, excluding `local_gateway`.
 pub(crate) fn first_replicas(
     key: KeyHash,
     gateways: &[GatewayId],
--- a/crates/write-intents/src/retention.rs
+++ b/crates/write-intents/src/retention.rs
@@ -1,18 +1,20 @@
-//! The records that one gateway holds, its own and those of other writers, until they expire.
+//! The records that one gateway retains until they expire, both its own and those of other writers.
 
 use crate::KeyHash;
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp, UnixMilliseconds};
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long a record is retained. Clients do not repeat a write for longer: 2 s for each try, three tries, and pauses.
+/// Time for which a record is retained. Clients do not retry a write for longer than this: they make three tries of 2 s
+/// each, with pauses between them.
 pub const RETENTION: Milliseconds = Milliseconds(10_000);
-/// How many keys one gateway retains. Without this bound, the writes of others could fill the memory. Beyond it nothing is
-/// recorded, and writers that get no acknowledgement send nothing.
+/// Maximum number of keys that one gateway retains. Without this limit, the writes of other gateways could exhaust the
+/// memory. At the limit, records of new keys are not acknowledged, and their writers do not send the writes.
 pub const MAX_RETAINED_KEYS: usize = 65_536;
-/// How many writers of one key are told apart. Beyond that the last entry is shared, and keeps the earliest time.
+/// Maximum number of entries for the writers of one key. Any further writers share the last entry, which keeps the
+/// earliest time.
 const MAX_WRITERS: usize = 8;
 
-/// When a write of one writer may first have run.
+/// The time from which the write of one writer may have run.
 #[derive(Debug, Clone)]
 struct Intent {
     writer: GatewayId,
@@ -22,18 +24,18 @@
 /// The records of one key.
 #[derive(Debug, Clone, Default)]
 struct KeyRecord {
-    /// One for each writer: at most as many as gateways tried the write, which are few.
+    /// One entry for each writer. There are few, because only gateways that received the write have an entry.
     intents: Vec<Intent>,
     expires_at: Timestamp,
 }
 
-/// When a key was recorded. The key is looked at again after [`RETENTION`], and then dropped unless it was recorded anew.
+/// An entry of the expiry queue. After [`RETENTION`] the key is checked, and dropped unless it has been recorded again.
 struct RecordedKey {
     recorded_at: Timestamp,
     key: KeyHash,
 }
 
-/// All records of one gateway.
+/// All records that one gateway retains.
 #[derive(Default)]
 pub(crate) struct RetainedIntents {
     records: BTreeMap<KeyHash, KeyRecord>,
@@ -41,7 +43,8 @@
 }
 
 impl RetainedIntents {
-    /// Records a writer's time. Returns false where there is no room for one more key.
+    /// Records the time from which the write of `writer` may have run. Returns false, and records nothing, if the key
+    /// is new and the limit of keys is reached.
     pub(crate) fn record(
         &mut self,
         now: Timestamp,
@@ -64,7 +67,7 @@
         true
     }
 
-    /// Removes a writer's record of a key.
+    /// Removes the entry of one writer for a key.
     pub(crate) fn withdraw(&mut self, writer: GatewayId, key: KeyHash) {
         if let Some(record) = self.records.get_mut(&key) {
             record.intents.retain(|intent| intent.writer != writer);
@@ -74,7 +77,8 @@
         }
     }
 
-    /// The earliest time from which a write of this key may have run.
+    /// Returns the earliest time from which a write with this key may have run, or `None` if there
+    /// is no record or it has expired.
     pub(crate) fn first_sent_at(&self, now: Timestamp, key: KeyHash) -> Option<UnixMilliseconds> {
         let record = self.records.get(&key)?;
         if now >= record.expires_at {
@@ -84,7 +88,7 @@
         times.min()
     }
 
-    /// Drops what has expired by `now`.
+    /// Drops the records that have expired at `now`.
     pub(crate) fn drop_expired(&mut self, now: Timestamp) {
         while let Some(oldest) = self.expiry_queue.front() {
             if now < oldest.recorded_at + RETENTION {
@@ -105,14 +109,14 @@
         }
     }
 
-    /// When the next key is to be looked at for expiry.
+    /// Returns the time at which the next key is checked for expiry.
     pub(crate) fn next_expiry(&self) -> Option<Timestamp> {
         self.expiry_queue
             .front()
             .map(|oldest| oldest.recorded_at + RETENTION)
     }
 
-    /// How many keys are retained.
+    /// Returns the number of keys that are retained.
     pub(crate) fn len(&self) -> usize {
         self.records.len()
     }
--- a/crates/write-intents/src/store.rs
+++ b/crates/write-intents/src/store.rs
@@ -1,4 +1,5 @@
-//! The write intents of one gateway: the records that it holds, and its own records and look-ups under way.
+//! The write intents of one gateway: the records that it retains, and its own record operations and look-ups in
+//! progress.
 
 use crate::codec::{self, IntentMessage, MessageKind, WireError};
 use crate::operation::{LocalMemory, Operation, Purpose};
@@ -8,24 +9,24 @@
 use irisrouter_cluster_types::{GatewayId, Timestamp, UnixMilliseconds};
 use std::collections::BTreeMap;
 
-/// How many records and look-ups of its own a gateway has under way at once.
+/// Maximum number of record operations and look-ups that a gateway has in progress. Further ones fail at once.
 const MAX_OPERATIONS: usize = 8_192;
 
 /// The write intents of one gateway.
 pub struct IntentStore {
     local_gateway: GatewayId,
-    /// Since when this process has received datagrams.
+    /// Time since which this process has been receiving datagrams.
     started: Timestamp,
     retained: RetainedIntents,
     operations: Vec<Operation>,
     last_operation: u64,
-    /// The messages that wait to be packed into datagrams, by the gateway to which they go.
+    /// Messages that are waiting to be packed into datagrams, by destination gateway.
     outbox: BTreeMap<GatewayId, Vec<IntentMessage>>,
     actions: Vec<Action>,
 }
 
 impl IntentStore {
-    /// The store of this gateway, whose process starts at `now`.
+    /// Creates the store of gateway `local_gateway`, whose process starts at `now`.
     #[must_use]
     pub fn new(local_gateway: GatewayId, now: Timestamp) -> Self {
         Self {
@@ -39,15 +40,15 @@
         }
     }
 
-    /// This process receives datagrams from now on, and not since [`IntentStore::new`]: an older process of the same gateway
-    /// may have held records until now.
+    /// Records that this process began to receive datagrams at `now`, rather than when it called [`IntentStore::new`].
+    /// An older process of the same gateway may have received records until then, which this process does not know.
     pub fn on_socket_opened(&mut self, now: Timestamp) {
         self.started = now;
     }
 
-    /// Records that a write of this key may have run from `first_sent_at` on, with the replicas among
-    /// `gateways`, those that are not considered down. A gateway that is alone records with nobody, as nobody could take the
-    /// write over.
+    /// Records that a write with this key may have run from `first_sent_at` on. The replicas are chosen among
+    /// `gateways`, which are all gateways that are not considered down. If there is no other gateway, the record
+    /// succeeds without a replica, because no other gateway could receive a retry of the write.
     pub fn record(
         &mut self,
         now: Timestamp,
@@ -55,13 +56,13 @@
         first_sent_at: UnixMilliseconds,
         gateways: &[GatewayId],
     ) -> OperationId {
-        // Recorded here too: the gateway's own client may send the write again to this very gateway.
+        // The record is also kept locally, because the client may retry the write through this gateway.
         self.retained
             .record(now, self.local_gateway, key, first_sent_at);
         self.start_operation(now, key, Purpose::Record { first_sent_at }, gateways)
     }
 
-    /// Looks up whether a write of this key may have run.
+    /// Looks up whether a write with this key may have run.
     pub fn look_up(&mut self, now: Timestamp, key: KeyHash, gateways: &[GatewayId]) -> OperationId {
         let Some(first_sent_at) = self.retained.first_sent_at(now, key) else {
             return self.start_operation(now, key, Purpose::LookUp, gateways);
@@ -72,7 +73,7 @@
         operation
     }
 
-    /// Withdraws what this gateway recorded of a key, as the write never ran.
+    /// Withdraws the record that this gateway made for a key, because the write never ran.
     pub fn withdraw(&mut self, key: KeyHash, gateways: &[GatewayId]) {
         self.retained.withdraw(self.local_gateway, key);
         let message = IntentMessage::new(MessageKind::Withdraw, key);
@@ -85,7 +86,7 @@
     /// Processes a datagram from gateway `from`.
     ///
     /// # Errors
-    /// The datagram can't be decoded; then nothing is changed.
+    /// The datagram can't be decoded. The state is unchanged in this case.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -122,7 +123,8 @@
         }
     }
 
-    /// The answer to the look-up of another gateway; none where this one may have lost its records.
+    /// Returns the answer to the look-up of another gateway. Returns `None` if the key is not known and this gateway
+    /// may have lost records.
     fn look_up_answer(&self, now: Timestamp, key: KeyHash) -> Option<IntentMessage> {
         if let Some(first_sent_at) = self.retained.first_sent_at(now, key) {
             return Some(IntentMessage {
@@ -137,7 +139,8 @@
         }
     }
 
-    /// Does what is due by `now`.
+    /// Performs the work that is due at `now`: sends messages again, ends operations that have timed out, and drops
+    /// expired records.
     pub fn advance(&mut self, now: Timestamp) {
         for operation in &mut self.operations {
             let Some(due) = operation.due_message(now) else {
@@ -152,7 +155,7 @@
         self.pack_outbox();
     }
 
-    /// When [`IntentStore::advance`] next has work; [`Timestamp::MAX`] for never.
+    /// Returns the time at which [`IntentStore::advance`] next has work to do, or [`Timestamp::MAX`] if there is none.
     #[must_use]
     pub fn next_due(&self) -> Timestamp {
         let sends = self.operations.iter().map(|operation| operation.next_send);
@@ -162,12 +165,12 @@
             .unwrap_or(Timestamp::MAX)
     }
 
-    /// What the caller has to do, in order.
+    /// Removes and returns the actions that the caller has to carry out, in order.
     pub fn drain_actions(&mut self) -> std::vec::Drain<'_, Action> {
         self.actions.drain(..)
     }
 
-    /// How many keys are recorded here at present.
+    /// Returns the number of keys of which this gateway retains a record.
     #[must_use]
     pub fn retained_keys(&self) -> usize {
         self.retained.len()
@@ -213,7 +216,7 @@
         self.end_operations(|operation| operation.process_answer(from, answer));
     }
 
-    /// Ends the operations that have an outcome, in the order in which they were started.
+    /// Ends the operations for which `outcome` returns an outcome, in the order in which they were started.
     fn end_operations(&mut self, mut outcome: impl FnMut(&mut Operation) -> Option<Outcome>) {
         let actions = &mut self.actions;
         self.operations.retain_mut(|operation| {
@@ -232,7 +235,7 @@
         self.outbox.entry(to).or_default().push(message);
     }
 
-    /// Packs the waiting messages into datagrams.
+    /// Packs the messages of the outbox into datagrams, and empties it.
     fn pack_outbox(&mut self) {
         for (to, messages) in std::mem::take(&mut self.outbox) {
             for chunk in messages.chunks(codec::MAX_MESSAGES) {
--- a/crates/write-intents/tests/codec.rs
+++ b/crates/write-intents/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Tests of the datagram of write intents.
+//! Property tests of the encoding of write intent datagrams.
 
 use irisrouter_cluster_types::{GatewayId, Timestamp, UnixMilliseconds};
 use irisrouter_write_intents::codec::{self, IntentMessage, MessageKind};
--- a/crates/write-intents/tests/fleet.rs
+++ b/crates/write-intents/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Writers, replicas and repeats on a simulated network: whatever the death of one gateway and lost datagrams do, a write
-//! that was sent is never taken for one that was not.
+//! Tests of record operations and look-ups on a simulated network: even if one gateway is dead and datagrams are lost,
+//! a look-up never concludes that a write was never sent if it was recorded.
 
 mod simulation;
 
@@ -60,7 +60,7 @@
         Outcome::NotRecorded
     );
     assert_eq!(fleet.look_up(GatewayId(1), KeyHash(7)), Outcome::Unproven);
-    // A gateway that is alone has no replica to record with, and nobody could take its writes over.
+    // A gateway without peers has no replica, and no other gateway could receive a retry of its writes.
     let mut alone = Fleet::new(1, 100, 1);
     assert_eq!(
         alone.record(GatewayId(0), KeyHash(7), UnixMilliseconds(1_000)),
@@ -79,14 +79,14 @@
         fleet.record(GatewayId(0), KeyHash(9), UnixMilliseconds(1_000)),
         Outcome::Recorded
     );
-    // The writer and every replica die, and all but the writer are started again: no gateway knows the write, and none says
-    // that it was never sent.
+    // The writer and every replica die, and all of them except the writer are restarted. No gateway knows the write any
+    // more, but none may conclude that it was never sent.
     fleet.stores[0] = None;
     for number in 1..5 {
         fleet.stores[number] = Some(IntentStore::new(GatewayId(number as u32), fleet.now));
     }
     assert_eq!(fleet.look_up(GatewayId(2), KeyHash(9)), Outcome::Unproven);
-    // By then no client repeats it any more.
+    // After the retention, clients do not retry the write any more.
     fleet.now += RETENTION;
     assert_eq!(fleet.look_up(GatewayId(2), KeyHash(9)), Outcome::NeverSent);
 }
@@ -105,8 +105,8 @@
 }
 
 proptest! {
-    /// A write that was recorded (and so may have been sent) is found by every gateway that still runs, whichever gateway is
-    /// dead, the writer or a replica, and whatever is lost.
+    /// A write that was recorded may have been sent. No running gateway concludes that it was never sent, whichever
+    /// gateway is dead and whichever datagrams are lost. Without loss, every running gateway finds the record.
     #[test]
     fn recorded_write_is_never_taken_for_never_sent(
         size in 2u32..9, writer in 0u32..9, dead in 0u32..9, asker in 0u32..9, key: u64,
--- a/crates/write-intents/tests/golden.rs
+++ b/crates/write-intents/tests/golden.rs
@@ -1,12 +1,13 @@
 //! Golden tests of the datagrams of write intents: records, look-ups and their answers.
 //!
-//! Pinned are the exact bytes of every kind of message, what the decoder says of these bytes and of malformed ones, the
-//! numbers of keys, and the replicas of a key. A fleet is upgraded one gateway at a time, so gateways of the old and
-//! the new version exchange these datagrams with each other, and one that receives a retry has to ask the gateways with which
-//! another recorded it: a change of a single byte or number would lose records, and a write could run twice. A refactoring
-//! must leave every literal in this file as it is; a wanted change of the format needs a new first byte.
+//! The tests pin the exact bytes of every kind of message, the decoder's results for these bytes and for malformed
+//! ones, the hashes of keys, and the replicas of a key. A fleet is upgraded one gateway at a time, so gateways of the
+//! old and the new version exchange these datagrams, and a gateway that receives a retry has to ask the gateways at
+//! which another gateway recorded the write. A change of a single byte or number would lose records, and a write could
+//! run twice. A refactoring must leave every literal in this file unchanged. An intended change of the format needs a
+//! new first byte.
 //!
-//! Literals are groups of hex digits, one group for each field of the layout; the white space between them means nothing.
+//! The literals are groups of hex digits, one group for each field of the layout. White space in them is ignored.
 
 use irisrouter_cluster_types::{GatewayId, Timestamp, UnixMilliseconds};
 use irisrouter_write_intents::codec::{
@@ -21,7 +22,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: all messages that are pinned here are built in this part of the file.
+// Test values: the functions that build the messages and the store of the tests.
 
 const KEY: KeyHash = KeyHash(0x0102_0304_0506_0708);
 const AT: UnixMilliseconds = UnixMilliseconds(0x1112_1314_1516_1718);
@@ -34,7 +35,7 @@
     }
 }
 
-/// As it is sent where the kind has no time.
+/// Returns a message as it is sent if its kind carries no time.
 fn without_time(kind: MessageKind) -> IntentMessage {
     IntentMessage {
         first_sent_at: UnixMilliseconds(0),
@@ -50,7 +51,7 @@
     }
 }
 
-/// Messages that differ in every field.
+/// Returns messages of all kinds in turn, whose other fields all differ.
 fn many(count: u64) -> Vec<IntentMessage> {
     let kinds = [
         MessageKind::Record,
@@ -68,7 +69,7 @@
     (0..count).map(one).collect()
 }
 
-/// Gateway 2 in a fleet of nine, and what it sends by this time: to whom, and the bytes.
+/// Advances the store to `now`, and returns the destination and the bytes of each datagram that it sends.
 fn sent(store: &mut IntentStore, now: u64) -> Vec<(u32, String)> {
     store.advance(Timestamp::from_millis(now));
     let datagram = |action| match action {
@@ -94,7 +95,7 @@
     expected.split_whitespace().collect()
 }
 
-/// A datagram of these messages has these bytes, and is `read` from them.
+/// Asserts that the messages are encoded as `expected`, and that these bytes are decoded as the messages in `read`.
 #[track_caller]
 fn pins_as(messages: &[IntentMessage], expected: &str, read: &[IntentMessage]) {
     let bytes = encode(messages);
@@ -118,12 +119,12 @@
     );
 }
 
-/// This datagram to each of these gateways.
+/// Returns the same datagram for each of the gateways, as [`sent`] returns it.
 fn to_each(gateways: &[u32], datagram: &str) -> Vec<(u32, String)> {
     gateways.iter().map(|&to| (to, literal(datagram))).collect()
 }
 
-// The bytes.
+// Encoding.
 
 #[test]
 fn bounds_and_first_byte_keep_their_values() {
@@ -226,7 +227,7 @@
     );
 }
 
-// What is refused.
+// Malformed datagrams.
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
@@ -323,7 +324,7 @@
     );
 }
 
-// Numbers on which all gateways agree.
+// Hashes and orders on which all gateways have to agree.
 
 #[test]
 fn hashes_of_keys_keep_their_values() {
@@ -412,7 +413,7 @@
     );
 }
 
-/// The order of the nine is [1, 5, 6, 4, 8, 3, 0, 7, 2].
+/// The replica order of the nine gateways is [1, 5, 6, 4, 8, 3, 0, 7, 2].
 #[test]
 fn record_goes_to_the_first_two_replicas_and_then_to_one_more_each_time_up_to_four() {
     let record = "c1 01  00 0102030405060708 1112131415161718";
--- a/crates/write-intents/tests/simulation/mod.rs
+++ b/crates/write-intents/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of [`IntentStore`]s on a simulated network, in virtual time and seeded.
+//! Simulation of a fleet of [`IntentStore`]s on a network, in virtual time and with a seed.
 
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp, UnixMilliseconds};
 use irisrouter_write_intents::{
@@ -8,15 +8,16 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
 
-/// When a datagram arrives. Those that arrive together do so in the order in which they were sent.
+/// Sort key of the datagrams in flight. Datagrams that arrive at the same time are delivered in the order in which they
+/// were sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Timestamp,
-    /// The datagram's number among all that were sent.
+    /// Sequence number, assigned in the order of sending.
     number: u64,
 }
 
-/// An operation of one gateway of the fleet.
+/// Identifies an operation within the fleet.
 #[derive(PartialEq, Eq, Hash)]
 struct FleetOperation {
     gateway: GatewayId,
@@ -31,7 +32,7 @@
 
 pub struct Fleet {
     pub now: Timestamp,
-    /// The gateways by their numbers; none for a dead one.
+    /// The stores of the gateways, indexed by gateway id. `None` for a dead gateway.
     pub stores: Vec<Option<IntentStore>>,
     flights: BTreeMap<Arrival, Flight>,
     sent_in_order: u64,
@@ -41,7 +42,7 @@
 }
 
 impl Fleet {
-    /// Gateways that were started long enough ago to have lost no records.
+    /// Creates a fleet whose gateways started so long ago that they have all records.
     pub fn new(size: u32, loss_percent: u64, seed: u64) -> Self {
         let store = |number| IntentStore::new(GatewayId(number), Timestamp::ZERO);
         Fleet {
@@ -59,7 +60,7 @@
         (0..self.stores.len() as u32).map(GatewayId).collect()
     }
 
-    /// Calls the store of a gateway and carries out its actions; none where the gateway is dead.
+    /// Calls the store of a gateway and carries out its actions. Returns `None` if the gateway is dead.
     pub fn call<R>(
         &mut self,
         gateway: GatewayId,
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Records a write at a gateway, and waits for the outcome.
+    /// Lets a gateway record a write, runs the fleet for 200 ms, and returns the outcome.
     pub fn record(
         &mut self,
         gateway: GatewayId,
@@ -146,7 +147,7 @@
         self.outcome(gateway, operation)
     }
 
-    /// Looks a key up at a gateway, and waits for the outcome.
+    /// Lets a gateway look a key up, runs the fleet for 200 ms, and returns the outcome.
     pub fn look_up(&mut self, gateway: GatewayId, key: KeyHash) -> Outcome {
         let all = self.all();
         let operation = self.call(gateway, |store, now| store.look_up(now, key, &all));
--- a/crates/write-intents/tests/store.rs
+++ b/crates/write-intents/tests/store.rs
@@ -1,4 +1,4 @@
-//! Tests of the bounds of one [`IntentStore`].
+//! Tests of the limits of one [`IntentStore`].
 
 use irisrouter_cluster_types::{GatewayId, Timestamp, UnixMilliseconds};
 use irisrouter_write_intents::codec::{self, IntentMessage, MessageKind};
