--- a/crates/leases/src/claim.rs
+++ b/crates/leases/src/claim.rs
@@ -10,7 +10,7 @@
 use irisrouter_cluster_types::{Epoch, Timestamp};
 
 /// Number of rounds of requests that a claimant remembers. Grants of older rounds are ignored.
-const REMEMBERED_ROUNDS: usize = 8;
+const MAX_REMEMBERED_ROUNDS: usize = 8;
 
 /// A round of requests to all voters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -27,7 +27,7 @@
     /// The latest rounds, oldest first.
     rounds: Vec<Round>,
     /// For each voter, the time at which the latest round that it granted was requested. `None` without a grant.
-    granted_rounds: Vec<Option<Timestamp>>,
+    grant_request_times: Vec<Option<Timestamp>>,
     /// The latest epoch that this claimant has seen.
     latest_seen_epoch: Epoch,
     last_round: u16,
@@ -38,7 +38,7 @@
     #[must_use]
     pub fn new(voters: usize) -> Self {
         Self {
-            granted_rounds: vec![None; voters],
+            grant_request_times: vec![None; voters],
             ..Self::default()
         }
     }
@@ -61,7 +61,7 @@
     /// Starts a round of requests to all voters at `now`, and returns the number of the round.
     pub fn start_round(&mut self, now: Timestamp) -> u16 {
         self.last_round = self.last_round.wrapping_add(1);
-        if self.rounds.len() == REMEMBERED_ROUNDS {
+        if self.rounds.len() == MAX_REMEMBERED_ROUNDS {
             self.rounds.remove(0);
         }
         self.rounds.push(Round {
@@ -80,7 +80,7 @@
         let Some(round) = self.rounds.iter().find(|known| known.number == round) else {
             return;
         };
-        if let Some(granted) = self.granted_rounds.get_mut(voter) {
+        if let Some(granted) = self.grant_request_times.get_mut(voter) {
             *granted = (*granted).max(Some(round.requested_at));
         }
     }
@@ -89,7 +89,7 @@
     /// claim is superseded and ends. Returns whether it was superseded.
     pub fn observe_epoch(&mut self, epoch: Epoch) -> bool {
         self.latest_seen_epoch = self.latest_seen_epoch.max(epoch);
-        let superseded = self.epoch.is_some_and(|own| epoch > own);
+        let superseded = self.epoch.is_some_and(|claimed| epoch > claimed);
         if superseded {
             self.end();
         }
@@ -100,19 +100,22 @@
     pub fn end(&mut self) {
         self.epoch = None;
         self.rounds.clear();
-        self.granted_rounds.fill(None);
+        self.grant_request_times.fill(None);
     }
 
     /// Returns the time until which the claimant holds the lease: the end of the time for which the grants of a
     /// majority are valid, minus the margin. Returns [`Timestamp::ZERO`] if no majority has granted it.
     #[must_use]
     pub fn valid_until(&self, terms: LeaseTerms) -> Timestamp {
-        let mut requested: Vec<Timestamp> = self.granted_rounds.iter().flatten().copied().collect();
-        requested.sort_unstable_by(|earlier, later| later.cmp(earlier));
-        let majority = self.granted_rounds.len() / 2 + 1;
-        requested.get(majority - 1).map_or(Timestamp::ZERO, |&at| {
-            (at + terms.length).saturating_sub(terms.margin)
-        })
+        let mut request_times: Vec<Timestamp> =
+            self.grant_request_times.iter().flatten().copied().collect();
+        request_times.sort_unstable_by(|earlier, later| later.cmp(earlier));
+        let majority = self.grant_request_times.len() / 2 + 1;
+        request_times
+            .get(majority - 1)
+            .map_or(Timestamp::ZERO, |&at| {
+                (at + terms.length).saturating_sub(terms.margin)
+            })
     }
 
     /// Returns the fencing token if the claimant holds the lease at `now`.
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -41,11 +41,11 @@
     settings: Settings,
     tasks: BTreeMap<TaskId, TaskState>,
     voter_role: VoterRole,
-    alive: Vec<GatewayId>,
+    alive_gateways: Vec<GatewayId>,
     side: PartitionSide,
     /// Time at which this gateway entered a minority partition. `None` in a majority partition, and again once all
     /// leases have been released.
-    minority_since: Option<Timestamp>,
+    minority_entered_at: Option<Timestamp>,
     /// Wall clock time at the origin of the caller's clock.
     clock_origin: UnixMilliseconds,
     last_pre_vote_round: u16,
@@ -69,9 +69,9 @@
             settings,
             tasks: BTreeMap::new(),
             voter_role: VoterRole::new(local.gateway, settings, started),
-            alive: vec![local.gateway],
+            alive_gateways: vec![local.gateway],
             side: PartitionSide::Minority,
-            minority_since: None,
+            minority_entered_at: None,
             clock_origin: UnixMilliseconds::default(),
             last_pre_vote_round: 0,
             outbox: Outbox::default(),
@@ -89,20 +89,25 @@
     /// Updates the view of the fleet: the gateways that are alive, including this one, and the side of a network
     /// partition. In a minority partition this gateway claims no lease, and releases all its leases after the duration
     /// of one lease.
-    pub fn update_view(&mut self, now: Timestamp, alive: &[GatewayId], side: PartitionSide) {
-        if self.alive == alive && self.side == side {
+    pub fn update_view(
+        &mut self,
+        now: Timestamp,
+        alive_gateways: &[GatewayId],
+        side: PartitionSide,
+    ) {
+        if self.alive_gateways == alive_gateways && self.side == side {
             return;
         }
-        self.alive = alive.to_vec();
+        self.alive_gateways = alive_gateways.to_vec();
         self.side = side;
         for (&task, state) in &mut self.tasks {
-            state.candidacy = Candidacy::new(task, &self.alive, self.local.gateway);
+            state.candidacy = Candidacy::new(task, &self.alive_gateways, self.local.gateway);
         }
         // Leases are not released immediately. Otherwise a view that changes briefly, because datagrams are lost, would
         // take all leases from their holders. The voters prevent a second holder in any case.
-        self.minority_since = match side {
+        self.minority_entered_at = match side {
             PartitionSide::Majority => None,
-            PartitionSide::Minority => self.minority_since.or(Some(now)),
+            PartitionSide::Minority => self.minority_entered_at.or(Some(now)),
         };
     }
 
@@ -116,16 +121,16 @@
     /// [`LeaseManager::advance`].
     pub fn set_tasks(&mut self, now: Timestamp, tasks: &[TaskId]) {
         let known = self.tasks.keys().copied();
-        let removed: Vec<TaskId> = known.filter(|task| !tasks.contains(task)).collect();
-        for task in removed {
-            self.give_up(now, task, LeaseChange::TaskRemoved);
+        let removed_tasks: Vec<TaskId> = known.filter(|task| !tasks.contains(task)).collect();
+        for task in removed_tasks {
+            self.relinquish(now, task, LeaseChange::TaskRemoved);
             self.tasks.remove(&task);
         }
         for &task in tasks.iter().take(MAX_TASKS) {
             if self.tasks.contains_key(&task) {
                 continue;
             }
-            let candidacy = Candidacy::new(task, &self.alive, self.local.gateway);
+            let candidacy = Candidacy::new(task, &self.alive_gateways, self.local.gateway);
             let state = TaskState::new(task, now, self.settings, candidacy);
             self.tasks.insert(task, state);
         }
@@ -142,14 +147,14 @@
     /// Gives up the lease on a task because a database host rejected its token: the host has seen a later one, so
     /// another gateway has acquired the lease.
     pub fn token_rejected(&mut self, now: Timestamp, task: TaskId) {
-        self.give_up(now, task, LeaseChange::Superseded);
+        self.relinquish(now, task, LeaseChange::Superseded);
     }
 
     /// Releases all leases because the gateway stops or is in a minority partition.
     pub fn release_all(&mut self, now: Timestamp) {
         let tasks: Vec<TaskId> = self.tasks.keys().copied().collect();
         for task in tasks {
-            self.give_up(now, task, LeaseChange::Stopped);
+            self.relinquish(now, task, LeaseChange::Stopped);
         }
         self.pack_outbox();
     }
@@ -199,7 +204,7 @@
     pub fn advance(&mut self, now: Timestamp, unix_now: UnixMilliseconds) {
         self.clock_origin = unix_now.saturating_sub(now.since_origin());
         if self.minority_deadline().is_some_and(|due| now >= due) {
-            self.minority_since = None;
+            self.minority_entered_at = None;
             self.release_all(now);
         }
         let due = self.tasks.iter().filter(|(_, state)| state.next_due <= now);
@@ -222,7 +227,7 @@
 
     /// Returns the time at which all leases are released because this gateway is in a minority partition, if it is.
     fn minority_deadline(&self) -> Option<Timestamp> {
-        self.minority_since
+        self.minority_entered_at
             .map(|since| since + self.settings.lease_length)
     }
 
--- a/crates/leases/src/manager/answers.rs
+++ b/crates/leases/src/manager/answers.rs
@@ -31,14 +31,14 @@
             return;
         };
         match message.kind {
-            MessageKind::Vacant => self.process_vacant(now, voter, message),
+            MessageKind::Vacant => self.process_vacant_vote(now, voter, message),
             MessageKind::Granted => self.process_grant(now, voter, message),
             _ => self.process_refusal(now, message),
         }
     }
 
     /// Processes the answer of a voter that would grant a request. Starts a claim once a majority of the voters would.
-    fn process_vacant(&mut self, now: Timestamp, voter: usize, message: &LeaseMessage) {
+    fn process_vacant_vote(&mut self, now: Timestamp, voter: usize, message: &LeaseMessage) {
         let Some(state) = self.tasks.get_mut(&message.task) else {
             return;
         };
@@ -64,7 +64,7 @@
             return;
         };
         state.held_epoch = Some(epoch);
-        state.other_first_since = None;
+        state.outranked_since = None;
         state.next_due = state.next_due.min(now + settings.request_interval());
         let change = match state.previous_holder {
             Some(holder) => LeaseChange::TakenOver(holder),
@@ -98,9 +98,9 @@
             }
             return;
         }
-        let held_by_other = message.holder.is_some_and(|holder| holder != local);
-        let promise_runs = message.remaining > Milliseconds::ZERO;
-        if superseded || held_by_other || promise_runs {
+        let held_by_other_process = message.holder.is_some_and(|holder| holder != local);
+        let promise_is_active = message.remaining > Milliseconds::ZERO;
+        if superseded || held_by_other_process || promise_is_active {
             // Another gateway holds the lease, or the voter was started recently. The next claim or request is due when
             // the voter's promise has expired, plus a delay for each rank so that the candidates do not claim at the
             // same time.
@@ -110,8 +110,8 @@
             state.next_due = match state.claim.epoch() {
                 None => retry_at,
                 Some(_) => {
-                    let claim_ends = state.claim_started + settings.lease_length;
-                    state.next_due.max(retry_at.min(claim_ends))
+                    let claim_deadline = state.claim_started + settings.lease_length;
+                    state.next_due.max(retry_at.min(claim_deadline))
                 }
             };
         }
--- a/crates/leases/src/manager/claims.rs
+++ b/crates/leases/src/manager/claims.rs
@@ -14,13 +14,13 @@
             return;
         };
         match state.held_epoch {
-            Some(epoch) => self.maintain_lease(now, task, epoch),
-            None => self.pursue_lease(now, task),
+            Some(epoch) => self.maintain_held_lease(now, task, epoch),
+            None => self.advance_claim(now, task),
         }
     }
 
     /// As the holder, reports that the lease has expired, hands it over to the first candidate, or renews it.
-    fn maintain_lease(&mut self, now: Timestamp, task: TaskId, epoch: Epoch) {
+    fn maintain_held_lease(&mut self, now: Timestamp, task: TaskId, epoch: Epoch) {
         let settings = self.settings;
         let Some(state) = self.tasks.get_mut(&task) else {
             return;
@@ -36,16 +36,16 @@
             });
             return;
         }
-        state.other_first_since = match state.candidacy.rank {
+        state.outranked_since = match state.candidacy.rank {
             0 => None,
-            _ => state.other_first_since.or(Some(now)),
+            _ => state.outranked_since.or(Some(now)),
         };
         let handover_due = state
-            .other_first_since
+            .outranked_since
             .is_some_and(|since| now >= since + settings.handover_delay());
         if handover_due {
             let first = state.candidacy.first;
-            self.give_up(now, task, LeaseChange::HandedOver(first));
+            self.relinquish(now, task, LeaseChange::HandedOver(first));
             return;
         }
         let valid_until = state.claim.valid_until(settings.terms());
@@ -58,7 +58,7 @@
     }
 
     /// As a gateway that does not hold the lease, starts a pre-vote, requests the grants again, or ends the claim.
-    fn pursue_lease(&mut self, now: Timestamp, task: TaskId) {
+    fn advance_claim(&mut self, now: Timestamp, task: TaskId) {
         let settings = self.settings;
         let may_claim = self.side == PartitionSide::Majority;
         let Some(state) = self.tasks.get_mut(&task) else {
@@ -99,7 +99,7 @@
         };
         state.pre_vote = Some(PreVote {
             round,
-            vacant_at: Vec::new(),
+            vacant_voters: Vec::new(),
         });
         state.next_due = now + self.settings.request_interval();
         let message = LeaseMessage {
@@ -141,31 +141,31 @@
 
     /// Sends a request or a pre-vote to all voters. If this gateway is one of them, its own vote is processed
     /// immediately.
-    fn ask_voters(&mut self, now: Timestamp, question: &LeaseMessage) {
-        let Some(state) = self.tasks.get(&question.task) else {
+    fn ask_voters(&mut self, now: Timestamp, message: &LeaseMessage) {
+        let Some(state) = self.tasks.get(&message.task) else {
             return;
         };
         let local = self.local;
         for &voter in state.voters.iter().filter(|&&voter| voter != local.gateway) {
-            self.outbox.push(voter, *question);
+            self.outbox.push(voter, *message);
         }
         if !state.voters.contains(&local.gateway) {
             return;
         }
-        if let Some(vote) = self.voter_role.vote(now, local, question) {
+        if let Some(vote) = self.voter_role.vote(now, local, message) {
             self.process_answer(now, local.gateway, &vote);
         }
     }
 
     /// Ends the claim or the lease of this gateway and releases its epoch at the voters. A lease that was held is
     /// offered to the first candidate, if that is another gateway.
-    pub(super) fn give_up(&mut self, now: Timestamp, task: TaskId, change: LeaseChange) {
+    pub(super) fn relinquish(&mut self, now: Timestamp, task: TaskId, change: LeaseChange) {
         let released = self.release_epoch(now, task);
         let Some(state) = self.tasks.get_mut(&task) else {
             return;
         };
         state.claim.end();
-        state.other_first_since = None;
+        state.outranked_since = None;
         state.next_due = now + self.settings.lease_length;
         let first = state.candidacy.first;
         let Some(epoch) = state.held_epoch.take() else {
--- a/crates/leases/src/rendezvous.rs
+++ b/crates/leases/src/rendezvous.rs
@@ -21,8 +21,8 @@
 /// Returns the gateways in their order of preference as holders of the lease on a task. Gateways of equal weight are
 /// ordered by id.
 #[must_use]
-pub fn candidates(task: TaskId, alive: &[GatewayId]) -> Vec<GatewayId> {
-    sorted_by_weight(task, alive.to_vec(), Role::Candidate)
+pub fn candidates(task: TaskId, alive_gateways: &[GatewayId]) -> Vec<GatewayId> {
+    sort_by_weight(task, alive_gateways.to_vec(), Role::Candidate)
 }
 
 /// Returns the voters of a task in a fleet with this number of gateways.
@@ -32,12 +32,12 @@
 #[must_use]
 pub fn voters(task: TaskId, fleet: u32) -> Vec<GatewayId> {
     let gateways = (0..fleet).map(GatewayId).collect();
-    let mut voters = sorted_by_weight(task, gateways, Role::Voter);
+    let mut voters = sort_by_weight(task, gateways, Role::Voter);
     voters.truncate(VOTERS);
     voters
 }
 
-fn sorted_by_weight(task: TaskId, mut gateways: Vec<GatewayId>, role: Role) -> Vec<GatewayId> {
+fn sort_by_weight(task: TaskId, mut gateways: Vec<GatewayId>, role: Role) -> Vec<GatewayId> {
     gateways.sort_by_key(|&gateway| (Reverse(weight(task, gateway, role)), gateway));
     gateways
 }
--- a/crates/leases/src/task_state.rs
+++ b/crates/leases/src/task_state.rs
@@ -5,12 +5,12 @@
 
 /// Number of gateways that may claim the lease on a task, including the first candidate. The other gateways need not
 /// have the task in their lists.
-pub(crate) const CANDIDATES: usize = 3;
+pub(crate) const MAX_CLAIMANTS: usize = 3;
 
 /// The position of this gateway among the candidates of a task.
 #[derive(Clone, Copy)]
 pub(crate) struct Candidacy {
-    /// Rank of this gateway, 0 for the first candidate. At least [`CANDIDATES`] if this gateway may not claim the
+    /// Rank of this gateway, 0 for the first candidate. At least [`MAX_CLAIMANTS`] if this gateway may not claim the
     /// lease.
     pub(crate) rank: usize,
     /// The first candidate.
@@ -19,18 +19,18 @@
 
 impl Candidacy {
     /// Determines the position of gateway `local` among the gateways that are alive.
-    pub(crate) fn new(task: TaskId, alive: &[GatewayId], local: GatewayId) -> Self {
-        let order = rendezvous::candidates(task, alive);
+    pub(crate) fn new(task: TaskId, alive_gateways: &[GatewayId], local: GatewayId) -> Self {
+        let order = rendezvous::candidates(task, alive_gateways);
         let local_rank = order.iter().position(|&gateway| gateway == local);
         Self {
-            rank: local_rank.unwrap_or(CANDIDATES),
+            rank: local_rank.unwrap_or(MAX_CLAIMANTS),
             first: order.first().copied().unwrap_or(local),
         }
     }
 
     /// Returns whether this gateway may claim the lease.
     pub(crate) const fn is_candidate(self) -> bool {
-        self.rank < CANDIDATES
+        self.rank < MAX_CLAIMANTS
     }
 }
 
@@ -38,7 +38,7 @@
 pub(crate) struct PreVote {
     pub(crate) round: u16,
     /// Indices of the voters that have answered that they would grant a request.
-    pub(crate) vacant_at: Vec<usize>,
+    pub(crate) vacant_voters: Vec<usize>,
 }
 
 /// State of one task whose lease this gateway may claim or hold.
@@ -58,7 +58,7 @@
     /// [`LeaseChange::TakenOver`](crate::LeaseChange::TakenOver).
     pub(crate) previous_holder: Option<GatewayProcess>,
     /// Time since which this gateway has held the lease while another gateway was the first candidate.
-    pub(crate) other_first_since: Option<Timestamp>,
+    pub(crate) outranked_since: Option<Timestamp>,
 }
 
 impl TaskState {
@@ -80,7 +80,7 @@
             pre_vote: None,
             held_epoch: None,
             previous_holder: None,
-            other_first_since: None,
+            outranked_since: None,
         }
     }
 
@@ -102,11 +102,11 @@
         let Some(pre_vote) = &mut self.pre_vote else {
             return false;
         };
-        if pre_vote.round != round || pre_vote.vacant_at.contains(&voter) {
+        if pre_vote.round != round || pre_vote.vacant_voters.contains(&voter) {
             return false;
         }
-        pre_vote.vacant_at.push(voter);
-        let majority = pre_vote.vacant_at.len() > self.voters.len() / 2;
+        pre_vote.vacant_voters.push(voter);
+        let majority = pre_vote.vacant_voters.len() > self.voters.len() / 2;
         self.claim.observe_epoch(latest_epoch);
         majority && self.claim.epoch().is_none()
     }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -45,13 +45,14 @@
 }
 
 impl Voter {
-    /// Creates a voter whose process started at `started`. It grants nothing until `lease` has passed since then.
+    /// Creates a voter whose process started at `started`. It grants nothing until `lease_length` has passed since
+    /// then.
     #[must_use]
-    pub fn new(started: Timestamp, lease: Milliseconds) -> Self {
+    pub fn new(started: Timestamp, lease_length: Milliseconds) -> Self {
         Self {
             epoch: Epoch::default(),
             holder: None,
-            promised_until: started + lease,
+            promised_until: started + lease_length,
         }
     }
 
@@ -59,7 +60,7 @@
     pub fn request(
         &mut self,
         now: Timestamp,
-        lease: Milliseconds,
+        lease_length: Milliseconds,
         claimant: GatewayProcess,
         epoch: Epoch,
     ) -> Vote {
@@ -71,7 +72,7 @@
             *self = Self {
                 epoch,
                 holder: Some(claimant),
-                promised_until: now + lease,
+                promised_until: now + lease_length,
             };
             return Vote::Granted { previous };
         }
--- a/crates/leases/src/voter_role.rs
+++ b/crates/leases/src/voter_role.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 /// A voter's state for a task may be evicted once no promise has been in force for the duration of this many leases.
-const IDLE_LEASES: u64 = 10;
+const IDLE_LEASES_BEFORE_EVICTION: u64 = 10;
 
 /// The state of this gateway as a voter, by task.
 pub(crate) struct VoterRole {
@@ -49,7 +49,7 @@
             MessageKind::PreVote => voter.pre_vote(now, claimant),
             _ => voter.request(now, lease, claimant, message.epoch),
         };
-        Some(answer(message, vote))
+        Some(vote_message(message, vote))
     }
 
     /// Ends the promise to a holder that releases its epoch.
@@ -69,7 +69,7 @@
         if !rendezvous::voters(task, self.settings.fleet).contains(&self.local) {
             return None;
         }
-        if !self.voters.contains_key(&task) && !self.make_room(now) {
+        if !self.voters.contains_key(&task) && !self.ensure_capacity(now) {
             return None;
         }
         let new = Voter::new(self.started, self.settings.lease_length);
@@ -78,29 +78,30 @@
 
     /// Returns whether one more task fits the limit. If necessary, evicts tasks that have been idle for a long time
     /// first.
-    fn make_room(&mut self, now: Timestamp) -> bool {
+    fn ensure_capacity(&mut self, now: Timestamp) -> bool {
         if self.voters.len() < MAX_TASKS {
             return true;
         }
-        let idle_since = now.saturating_sub(self.settings.lease_length * IDLE_LEASES);
+        let idle_since =
+            now.saturating_sub(self.settings.lease_length * IDLE_LEASES_BEFORE_EVICTION);
         self.voters.retain(|_, voter| !voter.is_idle(idle_since));
         self.voters.len() < MAX_TASKS
     }
 }
 
 /// Returns the message that carries the vote on a request or a pre-vote.
-fn answer(question: &LeaseMessage, vote: Vote) -> LeaseMessage {
+fn vote_message(request: &LeaseMessage, vote: Vote) -> LeaseMessage {
     match vote {
         Vote::Vacant { latest_epoch } => LeaseMessage {
             kind: MessageKind::Vacant,
             epoch: latest_epoch,
-            ..*question
+            ..*request
         },
         Vote::Granted { previous } => LeaseMessage {
             kind: MessageKind::Granted,
             holder: previous,
             remaining: Milliseconds::ZERO,
-            ..*question
+            ..*request
         },
         Vote::Refused {
             latest_epoch,
@@ -111,7 +112,7 @@
             epoch: latest_epoch,
             holder,
             remaining,
-            ..*question
+            ..*request
         },
     }
 }
--- a/crates/leases/tests/fleet.rs
+++ b/crates/leases/tests/fleet.rs
@@ -9,7 +9,7 @@
 use simulation::{settings, Fleet, LEASE};
 
 #[test]
-fn every_task_is_held_by_its_first_candidate_in_the_end() {
+fn every_task_is_eventually_held_by_its_first_candidate() {
     let mut fleet = Fleet::new(7, 40, 1);
     fleet.run(Milliseconds(20_000));
     let gateways: Vec<GatewayId> = fleet.gateway_ids().collect();
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn lease_is_taken_over_within_the_bound_when_its_holder_dies_unnoticed() {
+fn lease_is_taken_over_within_the_bound_when_its_holder_crashes_and_no_view_changes() {
     for seed in 1..=20 {
         let mut fleet = Fleet::new(5, 10, seed);
         fleet.run(Milliseconds(15_000));
@@ -46,7 +46,7 @@
     let mut fleet = Fleet::new(5, 1, 3);
     fleet.run(Milliseconds(15_000));
     let task = TaskId(0);
-    let holder = |fleet: &Fleet| fleet.latest[&task].holder.gateway;
+    let holder = |fleet: &Fleet| fleet.latest_holders[&task].holder.gateway;
     let stalled = holder(&fleet);
     fleet.stall(stalled);
     fleet.run(Milliseconds(5_000));
@@ -64,7 +64,7 @@
     for (one, other) in [(0, 3), (0, 4), (1, 3), (1, 4), (2, 3), (2, 4)] {
         let one = GatewayId(one);
         let other = GatewayId(other);
-        fleet.cuts.extend([(one, other), (other, one)]);
+        fleet.cut_links.extend([(one, other), (other, one)]);
     }
     // For two seconds the views of the gateways do not show the partition.
     fleet.run(Milliseconds(2_000));
@@ -75,20 +75,21 @@
         assert!((0..3).any(holds), "{task:?} has no holder in the majority");
         assert!(!(3..5).any(holds), "{task:?} has a holder in the minority");
     }
-    fleet.cuts.clear();
+    fleet.cut_links.clear();
     fleet.update_views();
     fleet.run(Milliseconds(10_000));
 }
 
 #[test]
-fn datagrams_of_a_lease_do_not_grow_with_the_fleet() {
+fn datagram_rate_of_a_lease_does_not_grow_with_the_fleet() {
     let mut datagrams_per_task_and_second = Vec::new();
     for size in [60, 300] {
         let mut fleet = Fleet::new(size, 20, 5);
         fleet.run(Milliseconds(15_000));
-        let before = fleet.sent;
+        let before = fleet.sent_datagram_count;
         fleet.run(Milliseconds(10_000));
-        datagrams_per_task_and_second.push((fleet.sent - before) as f64 / 20.0 / 10.0);
+        datagrams_per_task_and_second
+            .push((fleet.sent_datagram_count - before) as f64 / 20.0 / 10.0);
     }
     eprintln!(
         "datagrams per task and second, at a lease of 1 s: {datagrams_per_task_and_second:?}"
@@ -106,9 +107,9 @@
     Stall(GatewayId),
     Resume(GatewayId),
     /// All datagrams from the first gateway to the second are lost.
-    Cut(GatewayId, GatewayId),
-    Heal,
-    Loss(u64),
+    CutLink(GatewayId, GatewayId),
+    RestoreLinks,
+    SetLoss(u64),
     UpdateViews,
 }
 
@@ -120,9 +121,9 @@
             Fault::Restart(gateway) => fleet.restart(gateway),
             Fault::Stall(gateway) => fleet.stall(gateway),
             Fault::Resume(gateway) => fleet.resume(gateway),
-            Fault::Cut(from, to) => fleet.cuts.extend([(from, to)]),
-            Fault::Heal => fleet.cuts.clear(),
-            Fault::Loss(percent) => fleet.loss_percent = percent,
+            Fault::CutLink(from, to) => fleet.cut_links.extend([(from, to)]),
+            Fault::RestoreLinks => fleet.cut_links.clear(),
+            Fault::SetLoss(percent) => fleet.loss_percent = percent,
             Fault::UpdateViews => fleet.update_views(),
         }
     }
@@ -135,16 +136,16 @@
         gateway.clone().prop_map(Fault::Restart),
         gateway.clone().prop_map(Fault::Stall),
         gateway.clone().prop_map(Fault::Resume),
-        (gateway.clone(), gateway).prop_map(|(from, to)| Fault::Cut(from, to)),
-        Just(Fault::Heal),
-        (0u64..60).prop_map(Fault::Loss),
+        (gateway.clone(), gateway).prop_map(|(from, to)| Fault::CutLink(from, to)),
+        Just(Fault::RestoreLinks),
+        (0u64..60).prop_map(Fault::SetLoss),
         Just(Fault::UpdateViews),
     ]
 }
 
 /// Ends all faults, so that every gateway runs and reaches every other one.
-fn heal(fleet: &mut Fleet) {
-    fleet.cuts.clear();
+fn end_all_faults(fleet: &mut Fleet) {
+    fleet.cut_links.clear();
     fleet.loss_percent = 0;
     for gateway in fleet.gateway_ids() {
         fleet.resume(gateway);
@@ -166,11 +167,11 @@
         faults in proptest::collection::vec((fault(), 50u64..1_500), 1..25),
     ) {
         let mut fleet = Fleet::new(5, 4, seed);
-        for (fault, lasts_ms) in faults {
+        for (fault, duration_ms) in faults {
             fault.inject(&mut fleet);
-            fleet.run(Milliseconds(lasts_ms));
+            fleet.run(Milliseconds(duration_ms));
         }
-        heal(&mut fleet);
+        end_all_faults(&mut fleet);
         fleet.run(LEASE * 6);
         fleet.longest_gap = Milliseconds::ZERO;
         fleet.run(LEASE * 4);
--- a/crates/leases/tests/golden.rs
+++ b/crates/leases/tests/golden.rs
@@ -43,7 +43,7 @@
 }
 
 /// Returns a message with no holder and no remaining time.
-fn bare(kind: MessageKind) -> LeaseMessage {
+fn without_holder_and_remaining(kind: MessageKind) -> LeaseMessage {
     LeaseMessage {
         holder: None,
         remaining: Milliseconds::ZERO,
@@ -73,7 +73,7 @@
 }
 
 /// Returns a message whose holder has the gateway id that encodes the absence of a holder.
-fn with_holder_that_stands_for_none() -> LeaseMessage {
+fn with_no_holder_id() -> LeaseMessage {
     LeaseMessage {
         holder: Some(GatewayProcess {
             gateway: GatewayId(u32::MAX),
@@ -84,7 +84,7 @@
 }
 
 /// Returns messages of all kinds in turn, whose other fields all differ. The ninth message has no holder.
-fn many(count: u32) -> Vec<LeaseMessage> {
+fn distinct_messages(count: u32) -> Vec<LeaseMessage> {
     let kinds = [
         MessageKind::Request,
         MessageKind::Granted,
@@ -94,7 +94,7 @@
         MessageKind::PreVote,
         MessageKind::Vacant,
     ];
-    let one = |i: u32| LeaseMessage {
+    let message_at = |i: u32| LeaseMessage {
         kind: kinds[i as usize % kinds.len()],
         task: TaskId(0x0100_0000_0000_0000 + u64::from(i)),
         epoch: Epoch(0x1100_0000_0000_0000 + u64::from(i)),
@@ -106,37 +106,41 @@
         .filter(|_| i != 8),
         remaining: Milliseconds(u64::from(0x51_0000 + i)),
     };
-    (0..count).map(one).collect()
+    (0..count).map(message_at).collect()
 }
 
 // Helpers.
 
-fn literal(expected: &str) -> String {
+fn without_whitespace(expected: &str) -> String {
     expected.split_whitespace().collect()
 }
 
-/// Asserts that the messages are encoded as `expected`, and that these bytes are decoded as the messages in `read`.
+/// Asserts that the messages are encoded as `expected`, and that these bytes are decoded as the messages in `decoded`.
 #[track_caller]
-fn pins_as(messages: &[LeaseMessage], expected: &str, read: &[LeaseMessage]) {
+fn assert_encoded_and_decoded_as(
+    messages: &[LeaseMessage],
+    expected: &str,
+    decoded: &[LeaseMessage],
+) {
     let bytes = encode(GENERATION, messages);
-    assert_eq!(hex(&bytes), literal(expected));
+    assert_eq!(hex(&bytes), without_whitespace(expected));
     let expected = LeaseDatagram {
         sender_generation: GENERATION,
-        messages: read.to_vec(),
+        messages: decoded.to_vec(),
     };
     assert_eq!(decode(&bytes), Ok(expected));
 }
 
 #[track_caller]
-fn pins(messages: &[LeaseMessage], expected: &str) {
-    pins_as(messages, expected, messages);
+fn assert_round_trip(messages: &[LeaseMessage], expected: &str) {
+    assert_encoded_and_decoded_as(messages, expected, messages);
 }
 
 #[track_caller]
-fn refuses(bytes: &[u8], expected: WireError, text: &str) {
-    let why = decode(bytes).expect_err("it is refused");
+fn assert_rejected(bytes: &[u8], expected: WireError, text: &str) {
+    let error = decode(bytes).expect_err("it is refused");
     assert_eq!(
-        (why, why.to_string().as_str()),
+        (error, error.to_string().as_str()),
         (expected, text),
         "{}",
         hex(bytes)
@@ -152,7 +156,7 @@
 
 #[test]
 fn request_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Request)],
         "b1 0a0b 01  00 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -160,7 +164,7 @@
 
 #[test]
 fn granted_message_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Granted)],
         "b1 0a0b 01  01 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -168,7 +172,7 @@
 
 #[test]
 fn refused_message_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Refused)],
         "b1 0a0b 01  02 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -176,7 +180,7 @@
 
 #[test]
 fn released_message_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Released)],
         "b1 0a0b 01  03 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -184,7 +188,7 @@
 
 #[test]
 fn offered_message_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Offered)],
         "b1 0a0b 01  04 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -192,7 +196,7 @@
 
 #[test]
 fn pre_vote_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::PreVote)],
         "b1 0a0b 01  05 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -200,7 +204,7 @@
 
 #[test]
 fn vacant_message_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Vacant)],
         "b1 0a0b 01  06 0102030405060708 1112131415161718 2122 31323334 3536 414243",
     );
@@ -208,8 +212,8 @@
 
 #[test]
 fn message_without_holder_keeps_its_bytes() {
-    pins(
-        &[bare(MessageKind::Request)],
+    assert_round_trip(
+        &[without_holder_and_remaining(MessageKind::Request)],
         "b1 0a0b 01  00 0102030405060708 1112131415161718 2122 ffffffff 0000 000000",
     );
 }
@@ -217,14 +221,14 @@
 #[test]
 fn message_with_the_largest_numbers_keeps_its_bytes() {
     let expected = "b1 0a0b 01  06 ffffffffffffffff ffffffffffffffff ffff fffffffe ffff ffffff";
-    pins(&[with_largest_numbers()], expected);
+    assert_round_trip(&[with_largest_numbers()], expected);
 }
 
 #[test]
 fn remaining_time_beyond_24_bits_is_written_as_the_longest_one() {
     let expected = "b1 0a0b 01  02 0102030405060708 1112131415161718 2122 31323334 3536 ffffff";
     for remaining_ms in [0x100_0000, u64::from(u32::MAX), u64::MAX] {
-        pins_as(
+        assert_encoded_and_decoded_as(
             &[with_remaining(remaining_ms)],
             expected,
             &[with_remaining(0xff_ffff)],
@@ -234,23 +238,23 @@
 
 #[test]
 fn holder_with_the_number_that_stands_for_none_is_read_as_none() {
-    let read = LeaseMessage {
+    let decoded = LeaseMessage {
         holder: None,
-        ..with_holder_that_stands_for_none()
+        ..with_no_holder_id()
     };
     let expected = "b1 0a0b 01  01 0102030405060708 1112131415161718 2122 ffffffff 3536 414243";
-    pins_as(&[with_holder_that_stands_for_none()], expected, &[read]);
+    assert_encoded_and_decoded_as(&[with_no_holder_id()], expected, &[decoded]);
 }
 
 #[test]
 fn datagram_without_messages_keeps_its_bytes() {
-    pins(&[], "b1 0a0b 00");
+    assert_round_trip(&[], "b1 0a0b 00");
 }
 
 #[test]
 fn longest_datagram_keeps_its_bytes_and_messages_beyond_it_are_left_out() {
-    pins_as(
-        &many(11),
+    assert_encoded_and_decoded_as(
+        &distinct_messages(11),
         "b1 0a0b 09
         00 0100000000000000 1100000000000000 2100 31000000 4100 510000
         01 0100000000000001 1100000000000001 2101 31000001 4101 510001
@@ -261,7 +265,7 @@
         06 0100000000000006 1100000000000006 2106 31000006 4106 510006
         00 0100000000000007 1100000000000007 2107 31000007 4107 510007
         01 0100000000000008 1100000000000008 2108 ffffffff 0000 510008",
-        &many(9),
+        &distinct_messages(9),
     );
 }
 
@@ -269,19 +273,19 @@
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
-    refuses(&[], WireError::Short, "the datagram ends inside a field");
+    assert_rejected(&[], WireError::Short, "the datagram ends inside a field");
 }
 
 #[test]
 fn other_first_byte_is_refused_as_another_kind_or_version() {
-    refuses(
+    assert_rejected(
         &[0xb2],
         WireError::Version(0xb2),
         "first byte 0xb2 is of another kind or version",
     );
-    let mut bytes = encode(GENERATION, &many(2));
+    let mut bytes = encode(GENERATION, &distinct_messages(2));
     bytes[0] = 0x01;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Version(0x01),
         "first byte 0x01 is of another kind or version",
@@ -290,9 +294,9 @@
 
 #[test]
 fn datagram_cut_anywhere_is_refused_as_short() {
-    let bytes = encode(GENERATION, &many(2));
+    let bytes = encode(GENERATION, &distinct_messages(2));
     for end in 0..bytes.len() {
-        refuses(
+        assert_rejected(
             &bytes[..end],
             WireError::Short,
             "the datagram ends inside a field",
@@ -303,18 +307,18 @@
 #[test]
 fn trailing_bytes_are_refused_as_long() {
     let text = "the datagram is longer than what it says";
-    refuses(
-        &[encode(GENERATION, &many(2)), vec![0]].concat(),
+    assert_rejected(
+        &[encode(GENERATION, &distinct_messages(2)), vec![0]].concat(),
         WireError::Long,
         text,
     );
-    refuses(
-        &[encode(GENERATION, &many(2)), vec![0; 28]].concat(),
+    assert_rejected(
+        &[encode(GENERATION, &distinct_messages(2)), vec![0; 28]].concat(),
         WireError::Long,
         text,
     );
-    refuses(
-        &[encode(GENERATION, &many(9)), vec![0]].concat(),
+    assert_rejected(
+        &[encode(GENERATION, &distinct_messages(9)), vec![0]].concat(),
         WireError::Long,
         text,
     );
@@ -322,22 +326,22 @@
 
 #[test]
 fn unknown_kind_is_refused_with_its_number() {
-    let mut bytes = encode(GENERATION, &many(2));
+    let mut bytes = encode(GENERATION, &distinct_messages(2));
     for (kind, text) in [(7, "unknown kind 7"), (255, "unknown kind 255")] {
         bytes[4 + 28] = kind;
-        refuses(&bytes, WireError::Unknown("kind", kind), text);
+        assert_rejected(&bytes, WireError::Unknown("kind", kind), text);
     }
 }
 
 #[test]
 fn count_other_than_the_messages_that_follow_is_refused() {
-    let mut bytes = encode(GENERATION, &many(2));
+    let mut bytes = encode(GENERATION, &distinct_messages(2));
     for count in [3, 10, 255] {
         bytes[3] = count;
-        refuses(&bytes, WireError::Short, "the datagram ends inside a field");
+        assert_rejected(&bytes, WireError::Short, "the datagram ends inside a field");
     }
     bytes[3] = 1;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Long,
         "the datagram is longer than what it says",
@@ -346,9 +350,9 @@
 
 #[test]
 fn one_message_more_than_fits_is_refused_as_long() {
-    let mut bytes = [encode(GENERATION, &many(9)), vec![0; 28]].concat();
+    let mut bytes = [encode(GENERATION, &distinct_messages(9)), vec![0; 28]].concat();
     bytes[3] = 10;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Long,
         "the datagram is longer than what it says",
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn voter_grants_nothing_for_a_lease_after_its_socket_opened() {
+fn voter_grants_nothing_for_one_lease_duration_after_its_socket_opened() {
     let local = GatewayProcess {
         gateway: GatewayId(0),
         generation: Generation(1),
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -1,5 +1,5 @@
-//! Exhaustive model checking of leases, epochs and changes of holder with stateright, on the package's own [`Voter`] and
-//! [`Claim`].
+//! Exhaustive model checking of leases, epochs and changes of holder with stateright, on the package's own [`Voter`]
+//! and [`Claim`].
 //!
 //! The model has two claimants and three voters. It covers every order of requests and answers, any of which may be
 //! lost, a voter that is restarted, and a claimant that reads its token, is stalled, and performs its operation later.
@@ -22,7 +22,7 @@
 const VOTERS: usize = 3;
 const CLAIMANTS: usize = 2;
 /// Time at which each run of the model ends.
-const END: Timestamp = Timestamp::from_millis(4);
+const END_TIME: Timestamp = Timestamp::from_millis(4);
 /// Duration by which time advances in one step.
 const TICK: Milliseconds = Milliseconds(1);
 /// Maximum number of states that the checker visits. A check that has to visit all states fails at this limit, because
@@ -30,7 +30,7 @@
 const MAX_STATES: usize = 16_000_000;
 
 const ONE_HOLDER: &str = "one holder";
-const NO_OLDER_ACT_ACCEPTED: &str = "no older act accepted";
+const NO_OLDER_TOKEN_ACCEPTED: &str = "no older token accepted";
 const HELD: &str = "held";
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -61,15 +61,15 @@
     /// Number of rounds of requests that each claimant may still start.
     rounds_left: Vec<u8>,
     /// Time of the latest round of requests of each claimant.
-    last_request: Vec<Timestamp>,
-    restarts_left: u8,
+    last_requested_at: Vec<Timestamp>,
+    voter_restarts_left: u8,
     messages: Vec<Message>,
     /// For each claimant, the token that it has read and not yet used for an operation.
-    token_read: Vec<Option<Epoch>>,
+    unused_token: Vec<Option<Epoch>>,
     /// The latest token that the host has seen.
     latest_token: Epoch,
     /// Whether the host has accepted an operation with an older token than the latest.
-    older_act_accepted: bool,
+    older_token_accepted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -80,17 +80,17 @@
     Deliver(usize),
     RestartVoter(usize),
     ReadToken(usize),
-    Act(usize),
+    UseToken(usize),
 }
 
 struct LeaseModel {
     /// Whether the host rejects operations with older tokens.
     host_checks_tokens: bool,
     /// Whether a restarted voter grants nothing for the duration of a lease.
-    voter_waits: bool,
-    restarts: u8,
+    restarted_voter_waits: bool,
+    max_voter_restarts: u8,
     /// Whether claimants may read their tokens and perform their operations later.
-    claimants_act: bool,
+    claimants_use_tokens: bool,
     /// Number of rounds of requests that each claimant may start.
     rounds: [u8; CLAIMANTS],
 }
@@ -104,18 +104,18 @@
         self.claims[claimant].token(self.now, TERMS)
     }
 
-    fn post(&mut self, message: Message) {
+    fn send(&mut self, message: Message) {
         self.messages.push(message);
         self.messages.sort_unstable();
     }
 
     fn request_grants(&mut self, claimant: usize) {
         self.rounds_left[claimant] -= 1;
-        self.last_request[claimant] = self.now;
+        self.last_requested_at[claimant] = self.now;
         let epoch = self.claims[claimant].epoch().expect("a claim under way");
         let round = self.claims[claimant].start_round(self.now);
         for voter in 0..VOTERS {
-            self.post(Message::Request {
+            self.send(Message::Request {
                 claimant,
                 voter,
                 epoch,
@@ -133,7 +133,7 @@
                 round,
             } => {
                 let vote = self.voters[voter].request(self.now, LEASE, process(claimant), epoch);
-                self.post(match vote {
+                self.send(match vote {
                     Vote::Granted { .. } => Message::Granted {
                         claimant,
                         voter,
@@ -168,8 +168,8 @@
                 claimant, epoch, ..
             } => claims[*claimant].epoch() == Some(*epoch),
             Message::Refused { claimant, epoch } => {
-                let own = claims[*claimant].epoch();
-                own.is_some_and(|own| own < *epoch)
+                let claimed = claims[*claimant].epoch();
+                claimed.is_some_and(|claimed| claimed < *epoch)
             }
             Message::Request { .. } => true,
         });
@@ -186,35 +186,35 @@
             voters: vec![Voter::new(Timestamp::ZERO, LEASE); VOTERS],
             claims: vec![Claim::new(VOTERS); CLAIMANTS],
             rounds_left: self.rounds.to_vec(),
-            last_request: vec![Timestamp::ZERO; CLAIMANTS],
-            restarts_left: self.restarts,
+            last_requested_at: vec![Timestamp::ZERO; CLAIMANTS],
+            voter_restarts_left: self.max_voter_restarts,
             messages: Vec::new(),
-            token_read: vec![None; CLAIMANTS],
+            unused_token: vec![None; CLAIMANTS],
             latest_token: Epoch::default(),
-            older_act_accepted: false,
+            older_token_accepted: false,
         }]
     }
 
     fn actions(&self, state: &State, steps: &mut Vec<Step>) {
-        if state.now < END {
+        if state.now < END_TIME {
             steps.push(Step::Tick);
         }
         for claimant in 0..CLAIMANTS {
             let holds = state.token(claimant).is_some();
             // A second round of requests at the same time would have no effect.
             let may_request =
-                state.rounds_left[claimant] > 0 && state.now > state.last_request[claimant];
+                state.rounds_left[claimant] > 0 && state.now > state.last_requested_at[claimant];
             if may_request && !holds {
                 steps.push(Step::StartClaim(claimant));
             }
             if may_request && state.claims[claimant].epoch().is_some() {
                 steps.push(Step::Renew(claimant));
             }
-            if self.claimants_act && state.token_read[claimant].is_none() && holds {
+            if self.claimants_use_tokens && state.unused_token[claimant].is_none() && holds {
                 steps.push(Step::ReadToken(claimant));
             }
-            if state.token_read[claimant].is_some() {
-                steps.push(Step::Act(claimant));
+            if state.unused_token[claimant].is_some() {
+                steps.push(Step::UseToken(claimant));
             }
         }
         for index in 0..state.messages.len() {
@@ -224,7 +224,7 @@
                 steps.push(Step::Deliver(index));
             }
         }
-        if state.restarts_left > 0 {
+        if state.voter_restarts_left > 0 {
             steps.extend((0..VOTERS).map(Step::RestartVoter));
         }
     }
@@ -239,21 +239,21 @@
             }
             Step::Renew(claimant) => state.request_grants(claimant),
             Step::RestartVoter(voter) => {
-                state.restarts_left -= 1;
-                let waits_from = if self.voter_waits {
+                state.voter_restarts_left -= 1;
+                let voter_started = if self.restarted_voter_waits {
                     state.now
                 } else {
                     state.now.saturating_sub(LEASE)
                 };
-                state.voters[voter] = Voter::new(waits_from, LEASE);
+                state.voters[voter] = Voter::new(voter_started, LEASE);
             }
-            Step::ReadToken(claimant) => state.token_read[claimant] = state.token(claimant),
-            Step::Act(claimant) => {
-                let token = state.token_read[claimant].take()?;
+            Step::ReadToken(claimant) => state.unused_token[claimant] = state.token(claimant),
+            Step::UseToken(claimant) => {
+                let token = state.unused_token[claimant].take()?;
                 if token >= state.latest_token {
                     state.latest_token = token;
                 } else if !self.host_checks_tokens {
-                    state.older_act_accepted = true;
+                    state.older_token_accepted = true;
                 }
             }
             Step::Deliver(index) => state.deliver(index),
@@ -267,8 +267,8 @@
             Property::always(ONE_HOLDER, |_, state: &State| {
                 !(state.token(0).is_some() && state.token(1).is_some())
             }),
-            Property::always(NO_OLDER_ACT_ACCEPTED, |_, state: &State| {
-                !state.older_act_accepted
+            Property::always(NO_OLDER_TOKEN_ACCEPTED, |_, state: &State| {
+                !state.older_token_accepted
             }),
             Property::sometimes(HELD, |_, state: &State| state.token(0).is_some()),
         ]
@@ -286,12 +286,12 @@
 #[derive(Debug, PartialEq)]
 struct Violations {
     two_holders: bool,
-    older_act_accepted: bool,
+    older_token_accepted: bool,
 }
 
-const NONE: Violations = Violations {
+const NO_VIOLATIONS: Violations = Violations {
     two_holders: false,
-    older_act_accepted: false,
+    older_token_accepted: false,
 };
 
 fn violations(model: LeaseModel, coverage: Coverage) -> Violations {
@@ -314,57 +314,57 @@
     );
     Violations {
         two_holders: checker.discovery(ONE_HOLDER).is_some(),
-        older_act_accepted: checker.discovery(NO_OLDER_ACT_ACCEPTED).is_some(),
+        older_token_accepted: checker.discovery(NO_OLDER_TOKEN_ACCEPTED).is_some(),
     }
 }
 
 #[test]
-fn lease_has_one_holder_and_the_host_accepts_no_older_act() {
+fn lease_has_one_holder_and_the_host_accepts_no_older_token() {
     let model = LeaseModel {
         host_checks_tokens: true,
-        voter_waits: true,
-        restarts: 0,
-        claimants_act: true,
+        restarted_voter_waits: true,
+        max_voter_restarts: 0,
+        claimants_use_tokens: true,
         rounds: [1, 1],
     };
-    assert_eq!(violations(model, Coverage::AllStates), NONE);
+    assert_eq!(violations(model, Coverage::AllStates), NO_VIOLATIONS);
 }
 
 #[test]
 fn lease_has_one_holder_when_it_is_renewed() {
     let model = LeaseModel {
         host_checks_tokens: true,
-        voter_waits: true,
-        restarts: 0,
-        claimants_act: false,
+        restarted_voter_waits: true,
+        max_voter_restarts: 0,
+        claimants_use_tokens: false,
         rounds: [2, 1],
     };
-    assert_eq!(violations(model, Coverage::AllStates), NONE);
+    assert_eq!(violations(model, Coverage::AllStates), NO_VIOLATIONS);
 }
 
 #[test]
 fn lease_has_one_holder_when_a_voter_is_restarted() {
     let model = LeaseModel {
         host_checks_tokens: true,
-        voter_waits: true,
-        restarts: 1,
-        claimants_act: false,
+        restarted_voter_waits: true,
+        max_voter_restarts: 1,
+        claimants_use_tokens: false,
         rounds: [1, 1],
     };
-    assert_eq!(violations(model, Coverage::AllStates), NONE);
+    assert_eq!(violations(model, Coverage::AllStates), NO_VIOLATIONS);
 }
 
 #[test]
 fn stalled_holder_acts_after_its_successor_when_the_host_checks_no_tokens() {
     let model = LeaseModel {
         host_checks_tokens: false,
-        voter_waits: true,
-        restarts: 0,
-        claimants_act: true,
+        restarted_voter_waits: true,
+        max_voter_restarts: 0,
+        claimants_use_tokens: true,
         rounds: [1, 1],
     };
     assert!(
-        violations(model, Coverage::UntilViolation).older_act_accepted,
+        violations(model, Coverage::UntilViolation).older_token_accepted,
         "the model cannot fail: it proves nothing"
     );
 }
@@ -373,9 +373,9 @@
 fn lease_has_two_holders_when_a_restarted_voter_grants_at_once() {
     let model = LeaseModel {
         host_checks_tokens: true,
-        voter_waits: false,
-        restarts: 1,
-        claimants_act: false,
+        restarted_voter_waits: false,
+        max_voter_restarts: 1,
+        claimants_use_tokens: false,
         rounds: [1, 1],
     };
     assert!(
--- a/crates/leases/tests/previous_holder.rs
+++ b/crates/leases/tests/previous_holder.rs
@@ -24,7 +24,7 @@
 }
 
 /// Returns a fleet in which the first candidate holds the lease, and the candidates.
-fn settled_fleet(seed: u64) -> (Fleet, Candidates) {
+fn fleet_held_by_first_candidate(seed: u64) -> (Fleet, Candidates) {
     let mut fleet = Fleet::new(FLEET, 1, seed);
     let gateways: Vec<GatewayId> = fleet.gateway_ids().collect();
     let order = rendezvous::candidates(TASK, &gateways);
@@ -36,7 +36,7 @@
         gateway: order[0],
         generation: Generation(1),
     };
-    assert_eq!(fleet.latest[&TASK].holder, first, "seed {seed}");
+    assert_eq!(fleet.latest_holders[&TASK].holder, first, "seed {seed}");
     assert!(
         fleet.token(order[0], TASK).is_some(),
         "seed {seed}: the first candidate does not hold the lease"
@@ -50,10 +50,10 @@
     (fleet, candidates)
 }
 
-/// Returns the first acquisition after the holder's death, and checks that it is by another process. `before` is the
-/// number of acquisitions up to the holder's death.
-fn takeover(fleet: &Fleet, before: usize, dead: GatewayProcess) -> Acquisition {
-    let takeover = fleet.acquisitions[before];
+/// Returns the first acquisition after the holder's death, and checks that it is by another process.
+/// `acquisitions_before` is the number of acquisitions up to the holder's death.
+fn takeover(fleet: &Fleet, acquisitions_before: usize, dead: GatewayProcess) -> Acquisition {
+    let takeover = fleet.acquisitions[acquisitions_before];
     assert_ne!(takeover.holder, dead);
     takeover
 }
@@ -61,16 +61,16 @@
 #[test]
 fn takeover_names_the_dead_holder_when_only_one_candidate_claims() {
     for seed in 1..=20 {
-        let (mut fleet, candidates) = settled_fleet(seed);
+        let (mut fleet, candidates) = fleet_held_by_first_candidate(seed);
         for bystander in [candidates.third, candidates.fourth] {
             let now = fleet.now;
             let manager = &mut fleet.gateway_mut(bystander).manager;
             manager.set_tasks(now, &[]);
         }
-        let before = fleet.acquisitions.len();
+        let acquisitions_before = fleet.acquisitions.len();
         fleet.crash(candidates.first.gateway);
         fleet.run(LEASE * 3);
-        let takeover = takeover(&fleet, before, candidates.first);
+        let takeover = takeover(&fleet, acquisitions_before, candidates.first);
         assert_eq!(takeover.holder.gateway, candidates.second, "seed {seed}");
         assert_eq!(
             takeover.change,
@@ -84,9 +84,9 @@
 fn takeover_names_the_dead_holder_or_the_other_claimant_when_two_candidates_claim_at_once() {
     let mut named_other_claimant = 0;
     for seed in 1..=50 {
-        let (mut fleet, candidates) = settled_fleet(seed);
+        let (mut fleet, candidates) = fleet_held_by_first_candidate(seed);
         let claimants = [candidates.second, candidates.third];
-        let before = fleet.acquisitions.len();
+        let acquisitions_before = fleet.acquisitions.len();
         fleet.crash(candidates.first.gateway);
         // Both gateways find the lease vacant when they resume, and claim it at the same time.
         for claimant in claimants {
@@ -97,7 +97,7 @@
             fleet.resume(claimant);
         }
         fleet.run(LEASE * 4);
-        let takeover = takeover(&fleet, before, candidates.first);
+        let takeover = takeover(&fleet, acquisitions_before, candidates.first);
         let position = claimants
             .iter()
             .position(|&claimant| claimant == takeover.holder.gateway);
@@ -106,7 +106,7 @@
         match takeover.change {
             LeaseChange::TakenOver(previous) if previous == candidates.first => {}
             LeaseChange::TakenOver(previous) if previous == other => {
-                let held = fleet.acquisitions[..=before]
+                let held = fleet.acquisitions[..=acquisitions_before]
                     .iter()
                     .any(|acquisition| acquisition.holder == other);
                 assert!(!held, "seed {seed}: {other:?} did hold the lease");
@@ -127,17 +127,17 @@
         gateway: GatewayId(number),
         generation: Generation(7),
     };
-    let at = |since_start| Timestamp::ZERO + since_start;
+    let time_at = |since_start| Timestamp::ZERO + since_start;
     let (holder, loser, winner) = (process(0), process(1), process(2));
     let mut voter = Voter::new(Timestamp::ZERO, LEASE);
-    let first = voter.request(at(LEASE), LEASE, holder, Epoch(10));
+    let first = voter.request(time_at(LEASE), LEASE, holder, Epoch(10));
     assert_eq!(first, Vote::Granted { previous: None });
     // The holder dies and the promise to it expires. The losing claimant obtains the grant of this voter, but not of a
     // majority, and releases it.
-    let split = voter.request(at(LEASE * 2), LEASE, loser, Epoch(20));
+    let split = voter.request(time_at(LEASE * 2), LEASE, loser, Epoch(20));
     let previous = Some(holder);
     assert_eq!(split, Vote::Granted { previous });
-    let released = at(LEASE * 2 + LEASE / 2);
+    let released = time_at(LEASE * 2 + LEASE / 2);
     voter.release(released, loser, Epoch(20));
     let last = voter.request(released + Milliseconds(1), LEASE, winner, Epoch(21));
     let previous = Some(loser);
--- a/crates/leases/tests/rendezvous.rs
+++ b/crates/leases/tests/rendezvous.rs
@@ -5,17 +5,17 @@
 
 #[test]
 fn candidates_move_only_the_tasks_of_a_gateway_that_leaves_and_tasks_spread() {
-    let leaver = GatewayId(3);
+    let leaving = GatewayId(3);
     let all: Vec<GatewayId> = (0..7).map(GatewayId).collect();
-    let mut rest = all.clone();
-    rest.retain(|&gateway| gateway != leaver);
+    let mut remaining = all.clone();
+    remaining.retain(|&gateway| gateway != leaving);
     let mut tasks_of_gateway = [0; 7];
     for task in (0..700).map(TaskId) {
         let before = candidates(task, &all)[0];
         tasks_of_gateway[before.0 as usize] += 1;
-        let after = candidates(task, &rest)[0];
+        let after = candidates(task, &remaining)[0];
         assert!(
-            before == after || before == leaver,
+            before == after || before == leaving,
             "{task:?} moved from {before} to {after}"
         );
     }
--- a/crates/leases/tests/settings.rs
+++ b/crates/leases/tests/settings.rs
@@ -3,7 +3,7 @@
 use irisrouter_cluster_types::Milliseconds;
 use irisrouter_leases::Settings;
 
-fn refusal(lease_ms: u64) -> Option<String> {
+fn rejection(lease_ms: u64) -> Option<String> {
     let settings = Settings {
         fleet: 5,
         lease_length: Milliseconds(lease_ms),
@@ -15,8 +15,8 @@
 fn lease_outside_its_limits_is_refused_with_field_and_reason() {
     let too_short = "lease_ms: at least 100, or renewals would crowd the socket";
     let too_long = "lease_ms: at most 60000, as a duty without its owner waits that long";
-    assert_eq!(refusal(99).as_deref(), Some(too_short));
-    assert_eq!(refusal(100), None);
-    assert_eq!(refusal(60_000), None);
-    assert_eq!(refusal(60_001).as_deref(), Some(too_long));
+    assert_eq!(rejection(99).as_deref(), Some(too_short));
+    assert_eq!(rejection(100), None);
+    assert_eq!(rejection(60_000), None);
+    assert_eq!(rejection(60_001).as_deref(), Some(too_long));
 }
--- a/crates/leases/tests/simulation/mod.rs
+++ b/crates/leases/tests/simulation/mod.rs
@@ -36,7 +36,7 @@
         }
     }
 
-    fn runs(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.up && !self.stalled
     }
 }
@@ -46,10 +46,10 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Timestamp,
-    sent_in_order: u64,
+    sequence_number: u64,
 }
 
-struct Flight {
+struct InFlightDatagram {
     from: GatewayId,
     to: GatewayId,
     bytes: Vec<u8>,
@@ -75,13 +75,13 @@
     pub now: Timestamp,
     pub gateways: Vec<Gateway>,
     tasks: Vec<TaskId>,
-    flights: BTreeMap<Arrival, Flight>,
-    sent_in_order: u64,
+    in_flight: BTreeMap<Arrival, InFlightDatagram>,
+    sequence_number: u64,
     rng: SmallRng,
     pub loss_percent: u64,
     /// Pairs of a sender and a receiver. All datagrams from the sender to the receiver are lost.
-    pub cuts: BTreeSet<(GatewayId, GatewayId)>,
-    pub latest: BTreeMap<TaskId, LatestHolder>,
+    pub cut_links: BTreeSet<(GatewayId, GatewayId)>,
+    pub latest_holders: BTreeMap<TaskId, LatestHolder>,
     /// All acquisitions, in the order in which they were announced.
     pub acquisitions: Vec<Acquisition>,
     /// For each task, the latest time at which a gateway that is not stalled held its lease.
@@ -89,7 +89,7 @@
     /// The longest time during which no gateway that is not stalled held the lease on a task.
     pub longest_gap: Milliseconds,
     /// Number of datagrams sent, including those that were lost.
-    pub sent: u64,
+    pub sent_datagram_count: u64,
 }
 
 pub fn settings(fleet: u32) -> Settings {
@@ -107,16 +107,16 @@
             now: Timestamp::ZERO,
             gateways: gateways.collect(),
             tasks: (0..tasks).map(TaskId).collect(),
-            flights: BTreeMap::new(),
-            sent_in_order: 0,
+            in_flight: BTreeMap::new(),
+            sequence_number: 0,
             rng: SmallRng::seed_from_u64(seed),
             loss_percent: 0,
-            cuts: BTreeSet::new(),
-            latest: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            latest_holders: BTreeMap::new(),
             acquisitions: Vec::new(),
             last_held: BTreeMap::new(),
             longest_gap: Milliseconds::ZERO,
-            sent: 0,
+            sent_datagram_count: 0,
         };
         fleet.update_views();
         for gateway in &mut fleet.gateways {
@@ -132,7 +132,8 @@
             .filter(|&id| self.gateway(id).up)
             .collect();
         for &id in &up {
-            let reached = |other: &GatewayId| *other == id || !self.cuts.contains(&(id, *other));
+            let reached =
+                |other: &GatewayId| *other == id || !self.cut_links.contains(&(id, *other));
             let alive: Vec<GatewayId> = up.iter().copied().filter(reached).collect();
             let side = if 2 * alive.len() > self.gateways.len() {
                 PartitionSide::Majority
@@ -202,7 +203,9 @@
                         holder,
                         change,
                     });
-                    let last = self.latest.insert(task, LatestHolder { epoch, holder });
+                    let last = self
+                        .latest_holders
+                        .insert(task, LatestHolder { epoch, holder });
                     assert!(
                         last.is_none_or(|last| last.epoch < epoch),
                         "{task:?}: epoch {epoch} after {last:?}"
@@ -215,23 +218,23 @@
 
     fn send(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         assert!(bytes.len() <= codec::MAX_DATAGRAM_BYTES);
-        self.sent += 1;
-        let cut = self.cuts.contains(&(from, to));
+        self.sent_datagram_count += 1;
+        let cut = self.cut_links.contains(&(from, to));
         if cut || self.rng.random_range(0..100) < self.loss_percent {
             return;
         }
-        self.sent_in_order += 1;
+        self.sequence_number += 1;
         let jitter = Milliseconds(self.rng.random_range(0..5));
         let arrival = Arrival {
             at: self.now + SHORTEST_LATENCY + jitter,
-            sent_in_order: self.sent_in_order,
+            sequence_number: self.sequence_number,
         };
-        let flight = Flight { from, to, bytes };
-        self.flights.insert(arrival, flight);
+        let datagram = InFlightDatagram { from, to, bytes };
+        self.in_flight.insert(arrival, datagram);
     }
 
-    pub fn run(&mut self, length: Milliseconds) {
-        let end = self.now + length;
+    pub fn run(&mut self, duration: Milliseconds) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP;
             self.deliver_datagrams();
@@ -243,16 +246,16 @@
     fn deliver_datagrams(&mut self) {
         let now = self.now;
         while let Some(entry) = self
-            .flights
+            .in_flight
             .first_entry()
             .filter(|entry| entry.key().at <= now)
         {
-            let flight = entry.remove();
-            let gateway = self.gateway_mut(flight.to);
-            if gateway.runs() {
-                let received = gateway.manager.receive(now, flight.from, &flight.bytes);
+            let datagram = entry.remove();
+            let gateway = self.gateway_mut(datagram.to);
+            if gateway.is_running() {
+                let received = gateway.manager.receive(now, datagram.from, &datagram.bytes);
                 received.expect("decodes");
-                self.carry_out_actions(flight.to);
+                self.carry_out_actions(datagram.to);
             }
         }
     }
@@ -261,7 +264,7 @@
         let now = self.now;
         for id in self.gateway_ids() {
             let gateway = self.gateway_mut(id);
-            if gateway.runs() && gateway.manager.next_due() <= now {
+            if gateway.is_running() && gateway.manager.next_due() <= now {
                 let unix_now = UNIX_START + now.since_origin();
                 gateway.manager.advance(now, unix_now);
                 self.carry_out_actions(id);
@@ -271,10 +274,10 @@
 
     fn check_holders(&mut self) {
         for &task in &self.tasks {
-            let holds = |gateway: &&Gateway| {
+            let holds_lease = |gateway: &&Gateway| {
                 gateway.up && gateway.manager.fencing_token(self.now, task).is_some()
             };
-            let holders: Vec<&Gateway> = self.gateways.iter().filter(holds).collect();
+            let holders: Vec<&Gateway> = self.gateways.iter().filter(holds_lease).collect();
             assert!(
                 holders.len() <= 1,
                 "at {} ms {task:?} has {} holders",
@@ -282,9 +285,9 @@
                 holders.len()
             );
             // A stalled gateway may hold the lease, but performs no work.
-            let acts = holders.first().is_some_and(|gateway| !gateway.stalled);
+            let is_active = holders.first().is_some_and(|gateway| !gateway.stalled);
             let last_held = self.last_held.entry(task).or_insert(self.now);
-            if acts {
+            if is_active {
                 *last_held = self.now;
             }
             let gap = self.now.saturating_duration_since(*last_held);
--- a/crates/write-intents/src/operation.rs
+++ b/crates/write-intents/src/operation.rs
@@ -34,7 +34,7 @@
     }
 
     /// Returns the outcome of an operation that too few gateways answer, or that exceeds the limit of operations.
-    pub(crate) const fn failure(self) -> Outcome {
+    pub(crate) const fn failure_outcome(self) -> Outcome {
         match self {
             Self::Record { .. } => Outcome::NotRecorded,
             Self::LookUp => Outcome::Unproven,
@@ -44,11 +44,11 @@
 
 /// Whether this gateway knows all records that it has received within [`RETENTION`](crate::RETENTION).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum LocalMemory {
+pub(crate) enum LocalRecords {
     /// All of these records are known.
     Complete,
     /// This process was started so recently that records of an earlier process may be lost.
-    MayBeLost,
+    MayBeIncomplete,
 }
 
 /// A record operation or a look-up in progress.
@@ -60,10 +60,10 @@
     /// The gateways to which the operation may be sent, in the replica order of the key.
     candidates: Vec<GatewayId>,
     /// Number of `candidates` to which the operation has been sent, from the first one on.
-    asked: usize,
-    answered: Vec<GatewayId>,
+    asked_count: usize,
+    answered_by: Vec<GatewayId>,
     started: Timestamp,
-    local_memory: LocalMemory,
+    local_records: LocalRecords,
 }
 
 impl Operation {
@@ -74,7 +74,7 @@
         purpose: Purpose,
         candidates: Vec<GatewayId>,
         now: Timestamp,
-        local_memory: LocalMemory,
+        local_records: LocalRecords,
     ) -> Self {
         Self {
             id,
@@ -82,10 +82,10 @@
             purpose,
             next_send: now,
             candidates,
-            asked: 0,
-            answered: Vec::new(),
+            asked_count: 0,
+            answered_by: Vec::new(),
             started: now,
-            local_memory,
+            local_records,
         }
     }
 
@@ -98,15 +98,15 @@
         }
         self.next_send = now + RESEND_INTERVAL;
         let wanted = match self.purpose {
-            Purpose::Record { .. } if self.asked == 0 => REPLICAS,
-            Purpose::Record { .. } => self.asked + 1,
+            Purpose::Record { .. } if self.asked_count == 0 => REPLICAS,
+            Purpose::Record { .. } => self.asked_count + 1,
             Purpose::LookUp => self.candidates.len(),
         };
-        self.asked = wanted.min(self.candidates.len());
-        let asked = self.candidates[..self.asked].iter().copied();
+        self.asked_count = wanted.min(self.candidates.len());
+        let asked = self.candidates[..self.asked_count].iter().copied();
         Some(OutgoingMessage {
             to: asked
-                .filter(|gateway| !self.answered.contains(gateway))
+                .filter(|gateway| !self.answered_by.contains(gateway))
                 .collect(),
             message: self.message(),
         })
@@ -145,8 +145,8 @@
             }
             _ => return None,
         };
-        if !self.answered.contains(&from) {
-            self.answered.push(from);
+        if !self.answered_by.contains(&from) {
+            self.answered_by.push(from);
         }
         // An answer decides the outcome regardless of its arrival time, so the timeouts are not evaluated here.
         decided.or_else(|| self.outcome(self.started))
@@ -154,28 +154,28 @@
 
     /// Returns the outcome if the answers and the timeouts decide it at `now`.
     pub(crate) fn outcome(&self, now: Timestamp) -> Option<Outcome> {
-        let waited = now.saturating_duration_since(self.started);
+        let elapsed = now.saturating_duration_since(self.started);
         let decided = match self.purpose {
             Purpose::Record { .. } => self.record_outcome(),
-            Purpose::LookUp => self.look_up_outcome(waited),
+            Purpose::LookUp => self.look_up_outcome(elapsed),
         };
         // If the only other gateway is dead or does not answer, a record can't be confirmed and a look-up is
         // inconclusive.
-        let timed_out = waited >= OPERATION_TIMEOUT;
-        decided.or(timed_out.then_some(self.purpose.failure()))
+        let timed_out = elapsed >= OPERATION_TIMEOUT;
+        decided.or(timed_out.then_some(self.purpose.failure_outcome()))
     }
 
     fn record_outcome(&self) -> Option<Outcome> {
         let needed = REPLICAS.min(self.candidates.len());
-        (self.answered.len() >= needed).then_some(Outcome::Recorded)
+        (self.answered_by.len() >= needed).then_some(Outcome::Recorded)
     }
 
-    fn look_up_outcome(&self, waited: Milliseconds) -> Option<Outcome> {
+    fn look_up_outcome(&self, elapsed: Milliseconds) -> Option<Outcome> {
         // If the local gateway may have lost records, it counts as one more gateway that does not answer.
-        let locally_silent = usize::from(self.local_memory == LocalMemory::MayBeLost);
-        let silent = self.candidates.len() - self.answered.len() + locally_silent;
-        let few_are_silent = silent <= MAX_SILENT && !self.answered.is_empty();
-        let never_sent = silent == 0 || (waited >= SILENCE_TIMEOUT && few_are_silent);
+        let local_silence = usize::from(self.local_records == LocalRecords::MayBeIncomplete);
+        let silent = self.candidates.len() - self.answered_by.len() + local_silence;
+        let silence_is_tolerable = silent <= MAX_SILENT && !self.answered_by.is_empty();
+        let never_sent = silent == 0 || (elapsed >= SILENCE_TIMEOUT && silence_is_tolerable);
         never_sent.then_some(Outcome::NeverSent)
     }
 }
--- a/crates/write-intents/src/retention.rs
+++ b/crates/write-intents/src/retention.rs
@@ -125,11 +125,11 @@
 impl KeyRecord {
     fn add(&mut self, writer: GatewayId, first_sent_at: UnixMilliseconds) {
         let full = self.intents.len() >= MAX_WRITERS;
-        let of_writer = self
+        let writer_index = self
             .intents
             .iter()
             .position(|intent| intent.writer == writer);
-        let index = of_writer.or(full.then_some(MAX_WRITERS - 1));
+        let index = writer_index.or(full.then_some(MAX_WRITERS - 1));
         match index.and_then(|index| self.intents.get_mut(index)) {
             Some(intent) => intent.first_sent_at = intent.first_sent_at.min(first_sent_at),
             None => self.intents.push(Intent {
--- a/crates/write-intents/src/store.rs
+++ b/crates/write-intents/src/store.rs
@@ -2,7 +2,7 @@
 //! progress.
 
 use crate::codec::{self, IntentMessage, MessageKind, WireError};
-use crate::operation::{LocalMemory, Operation, Purpose};
+use crate::operation::{LocalRecords, Operation, Purpose};
 use crate::replicas::{first_replicas, RECORD_CANDIDATES};
 use crate::retention::{RetainedIntents, RETENTION};
 use crate::{Action, KeyHash, OperationId, Outcome};
@@ -133,9 +133,9 @@
                 first_sent_at,
             });
         }
-        match self.local_memory(now) {
-            LocalMemory::Complete => Some(IntentMessage::new(MessageKind::NotFound, key)),
-            LocalMemory::MayBeLost => None,
+        match self.local_records(now) {
+            LocalRecords::Complete => Some(IntentMessage::new(MessageKind::NotFound, key)),
+            LocalRecords::MayBeIncomplete => None,
         }
     }
 
@@ -176,11 +176,11 @@
         self.retained.len()
     }
 
-    fn local_memory(&self, now: Timestamp) -> LocalMemory {
+    fn local_records(&self, now: Timestamp) -> LocalRecords {
         if now < self.started + RETENTION {
-            LocalMemory::MayBeLost
+            LocalRecords::MayBeIncomplete
         } else {
-            LocalMemory::Complete
+            LocalRecords::Complete
         }
     }
 
@@ -200,13 +200,13 @@
         if self.operations.len() >= MAX_OPERATIONS {
             self.actions.push(Action::Ended {
                 operation: id,
-                outcome: purpose.failure(),
+                outcome: purpose.failure_outcome(),
             });
             return id;
         }
         let candidates = first_replicas(key, gateways, self.local_gateway, purpose.candidates());
-        let local_memory = self.local_memory(now);
-        let operation = Operation::new(id, key, purpose, candidates, now, local_memory);
+        let local_records = self.local_records(now);
+        let operation = Operation::new(id, key, purpose, candidates, now, local_records);
         self.operations.push(operation);
         self.advance(now);
         id
--- a/crates/write-intents/tests/fleet.rs
+++ b/crates/write-intents/tests/fleet.rs
@@ -40,20 +40,24 @@
         fleet.record(GatewayId(1), KeyHash(7), UnixMilliseconds(1_400)),
         Outcome::Recorded
     );
-    let all = fleet.all();
-    fleet.call(GatewayId(1), |store, _| store.withdraw(KeyHash(7), &all));
+    let all_gateways = fleet.all_gateways();
+    fleet.call(GatewayId(1), |store, _| {
+        store.withdraw(KeyHash(7), &all_gateways)
+    });
     fleet.run(Milliseconds(50));
     assert_eq!(
         fleet.look_up(GatewayId(3), KeyHash(7)),
         Outcome::MayHaveRunSince(UnixMilliseconds(1_000))
     );
-    fleet.call(GatewayId(0), |store, _| store.withdraw(KeyHash(7), &all));
+    fleet.call(GatewayId(0), |store, _| {
+        store.withdraw(KeyHash(7), &all_gateways)
+    });
     fleet.run(Milliseconds(50));
     assert_eq!(fleet.look_up(GatewayId(3), KeyHash(7)), Outcome::NeverSent);
 }
 
 #[test]
-fn nothing_is_recorded_or_proven_without_two_answers() {
+fn record_fails_and_look_up_is_unproven_without_two_answers() {
     let mut fleet = Fleet::new(4, 100, 1);
     assert_eq!(
         fleet.record(GatewayId(0), KeyHash(7), UnixMilliseconds(1_000)),
@@ -73,7 +77,7 @@
 }
 
 #[test]
-fn restarted_replicas_prove_nothing_until_the_retention_has_passed() {
+fn look_up_at_restarted_replicas_is_unproven_until_the_retention_has_passed() {
     let mut fleet = Fleet::new(5, 0, 1);
     assert_eq!(
         fleet.record(GatewayId(0), KeyHash(9), UnixMilliseconds(1_000)),
@@ -108,21 +112,21 @@
     /// A write that was recorded may have been sent. No running gateway concludes that it was never sent, whichever
     /// gateway is dead and whichever datagrams are lost. Without loss, every running gateway finds the record.
     #[test]
-    fn recorded_write_is_never_taken_for_never_sent(
-        size in 2u32..9, writer in 0u32..9, dead in 0u32..9, asker in 0u32..9, key: u64,
+    fn recorded_write_is_never_reported_as_never_sent(
+        size in 2u32..9, writer in 0u32..9, dead in 0u32..9, looking_up in 0u32..9, key: u64,
         loss_percent in 0u64..70, seed: u64,
     ) {
-        let (writer, dead, asker) = (writer % size, dead % size, asker % size);
-        prop_assume!(asker != dead);
+        let (writer, dead, looking_up) = (writer % size, dead % size, looking_up % size);
+        prop_assume!(looking_up != dead);
         let mut fleet = Fleet::new(size, loss_percent, seed);
         let recorded = fleet.record(GatewayId(writer), KeyHash(key), UnixMilliseconds(1_000));
         fleet.stores[dead as usize] = None;
-        let found = fleet.look_up(GatewayId(asker), KeyHash(key));
+        let outcome = fleet.look_up(GatewayId(looking_up), KeyHash(key));
         if recorded == Outcome::Recorded {
-            prop_assert_ne!(found, Outcome::NeverSent);
+            prop_assert_ne!(outcome, Outcome::NeverSent);
         }
         if recorded == Outcome::Recorded && loss_percent == 0 {
-            prop_assert_eq!(found, Outcome::MayHaveRunSince(UnixMilliseconds(1_000)));
+            prop_assert_eq!(outcome, Outcome::MayHaveRunSince(UnixMilliseconds(1_000)));
         }
     }
 }
--- a/crates/write-intents/tests/golden.rs
+++ b/crates/write-intents/tests/golden.rs
@@ -25,13 +25,13 @@
 // Test values: the functions that build the messages and the store of the tests.
 
 const KEY: KeyHash = KeyHash(0x0102_0304_0506_0708);
-const AT: UnixMilliseconds = UnixMilliseconds(0x1112_1314_1516_1718);
+const FIRST_SENT_AT: UnixMilliseconds = UnixMilliseconds(0x1112_1314_1516_1718);
 
 fn message(kind: MessageKind) -> IntentMessage {
     IntentMessage {
         kind,
         key: KEY,
-        first_sent_at: AT,
+        first_sent_at: FIRST_SENT_AT,
     }
 }
 
@@ -52,7 +52,7 @@
 }
 
 /// Returns messages of all kinds in turn, whose other fields all differ.
-fn many(count: u64) -> Vec<IntentMessage> {
+fn distinct_messages(count: u64) -> Vec<IntentMessage> {
     let kinds = [
         MessageKind::Record,
         MessageKind::Acknowledged,
@@ -61,16 +61,16 @@
         MessageKind::NotFound,
         MessageKind::Withdraw,
     ];
-    let one = |i: u64| IntentMessage {
+    let message_at = |i: u64| IntentMessage {
         kind: kinds[i as usize % kinds.len()],
         key: KeyHash(0x0100_0000_0000_0000 + i),
         first_sent_at: UnixMilliseconds(0x1100_0000_0000_0000 + i),
     };
-    (0..count).map(one).collect()
+    (0..count).map(message_at).collect()
 }
 
 /// Advances the store to `now`, and returns the destination and the bytes of each datagram that it sends.
-fn sent(store: &mut IntentStore, now: u64) -> Vec<(u32, String)> {
+fn sent_datagrams_at(store: &mut IntentStore, now: u64) -> Vec<(u32, String)> {
     store.advance(Timestamp::from_millis(now));
     let datagram = |action| match action {
         Action::Send { to, bytes } => Some((to.0, hex(&bytes))),
@@ -79,7 +79,7 @@
     store.drain_actions().filter_map(datagram).collect()
 }
 
-fn gateway() -> IntentStore {
+fn store_of_gateway_2() -> IntentStore {
     IntentStore::new(GatewayId(2), Timestamp::ZERO)
 }
 
@@ -91,37 +91,44 @@
 
 // Helpers.
 
-fn literal(expected: &str) -> String {
+fn without_whitespace(expected: &str) -> String {
     expected.split_whitespace().collect()
 }
 
-/// Asserts that the messages are encoded as `expected`, and that these bytes are decoded as the messages in `read`.
+/// Asserts that the messages are encoded as `expected`, and that these bytes are decoded as the messages in `decoded`.
 #[track_caller]
-fn pins_as(messages: &[IntentMessage], expected: &str, read: &[IntentMessage]) {
+fn assert_encoded_and_decoded_as(
+    messages: &[IntentMessage],
+    expected: &str,
+    decoded: &[IntentMessage],
+) {
     let bytes = encode(messages);
-    assert_eq!(hex(&bytes), literal(expected));
-    assert_eq!(decode(&bytes).as_deref(), Ok(read));
+    assert_eq!(hex(&bytes), without_whitespace(expected));
+    assert_eq!(decode(&bytes).as_deref(), Ok(decoded));
 }
 
 #[track_caller]
-fn pins(messages: &[IntentMessage], expected: &str) {
-    pins_as(messages, expected, messages);
+fn assert_round_trip(messages: &[IntentMessage], expected: &str) {
+    assert_encoded_and_decoded_as(messages, expected, messages);
 }
 
 #[track_caller]
-fn refuses(bytes: &[u8], expected: WireError, text: &str) {
-    let why = decode(bytes).expect_err("it is refused");
+fn assert_rejected(bytes: &[u8], expected: WireError, text: &str) {
+    let error = decode(bytes).expect_err("it is refused");
     assert_eq!(
-        (why, why.to_string().as_str()),
+        (error, error.to_string().as_str()),
         (expected, text),
         "{}",
         hex(bytes)
     );
 }
 
-/// Returns the same datagram for each of the gateways, as [`sent`] returns it.
+/// Returns the same datagram for each of the gateways, as [`sent_datagrams_at`] returns it.
 fn to_each(gateways: &[u32], datagram: &str) -> Vec<(u32, String)> {
-    gateways.iter().map(|&to| (to, literal(datagram))).collect()
+    gateways
+        .iter()
+        .map(|&to| (to, without_whitespace(datagram)))
+        .collect()
 }
 
 // Encoding.
@@ -133,7 +140,7 @@
 
 #[test]
 fn record_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Record)],
         "c1 01  00 0102030405060708 1112131415161718",
     );
@@ -141,7 +148,7 @@
 
 #[test]
 fn acknowledgement_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Acknowledged)],
         "c1 01  01 0102030405060708 1112131415161718",
     );
@@ -149,11 +156,11 @@
 
 #[test]
 fn look_up_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::LookUp)],
         "c1 01  02 0102030405060708 1112131415161718",
     );
-    pins(
+    assert_round_trip(
         &[without_time(MessageKind::LookUp)],
         "c1 01  02 0102030405060708 0000000000000000",
     );
@@ -161,7 +168,7 @@
 
 #[test]
 fn found_answer_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Found)],
         "c1 01  03 0102030405060708 1112131415161718",
     );
@@ -169,11 +176,11 @@
 
 #[test]
 fn not_found_answer_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::NotFound)],
         "c1 01  04 0102030405060708 1112131415161718",
     );
-    pins(
+    assert_round_trip(
         &[without_time(MessageKind::NotFound)],
         "c1 01  04 0102030405060708 0000000000000000",
     );
@@ -181,11 +188,11 @@
 
 #[test]
 fn withdrawal_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[message(MessageKind::Withdraw)],
         "c1 01  05 0102030405060708 1112131415161718",
     );
-    pins(
+    assert_round_trip(
         &[without_time(MessageKind::Withdraw)],
         "c1 01  05 0102030405060708 0000000000000000",
     );
@@ -193,7 +200,7 @@
 
 #[test]
 fn message_with_the_largest_numbers_keeps_its_bytes() {
-    pins(
+    assert_round_trip(
         &[with_largest_numbers()],
         "c1 01  03 ffffffffffffffff ffffffffffffffff",
     );
@@ -201,13 +208,13 @@
 
 #[test]
 fn datagram_without_messages_keeps_its_bytes() {
-    pins(&[], "c1 00");
+    assert_round_trip(&[], "c1 00");
 }
 
 #[test]
 fn longest_datagram_keeps_its_bytes_and_messages_beyond_it_are_left_out() {
-    pins_as(
-        &many(16),
+    assert_encoded_and_decoded_as(
+        &distinct_messages(16),
         "c1 0e
         00 0100000000000000 1100000000000000
         01 0100000000000001 1100000000000001
@@ -223,7 +230,7 @@
         05 010000000000000b 110000000000000b
         00 010000000000000c 110000000000000c
         01 010000000000000d 110000000000000d",
-        &many(14),
+        &distinct_messages(14),
     );
 }
 
@@ -231,19 +238,19 @@
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
-    refuses(&[], WireError::Short, "the datagram ends inside a field");
+    assert_rejected(&[], WireError::Short, "the datagram ends inside a field");
 }
 
 #[test]
 fn other_first_byte_is_refused_as_another_kind_or_version() {
-    refuses(
+    assert_rejected(
         &[0xc2],
         WireError::Version(0xc2),
         "first byte 0xc2 is of another kind or version",
     );
-    let mut bytes = encode(&many(2));
+    let mut bytes = encode(&distinct_messages(2));
     bytes[0] = 0xb1;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Version(0xb1),
         "first byte 0xb1 is of another kind or version",
@@ -252,9 +259,9 @@
 
 #[test]
 fn datagram_cut_anywhere_is_refused_as_short() {
-    let bytes = encode(&many(2));
+    let bytes = encode(&distinct_messages(2));
     for end in 0..bytes.len() {
-        refuses(
+        assert_rejected(
             &bytes[..end],
             WireError::Short,
             "the datagram ends inside a field",
@@ -265,14 +272,18 @@
 #[test]
 fn trailing_bytes_are_refused_as_long() {
     let text = "the datagram is longer than what it says";
-    refuses(&[encode(&many(2)), vec![0]].concat(), WireError::Long, text);
-    refuses(
-        &[encode(&many(2)), vec![0; 17]].concat(),
+    assert_rejected(
+        &[encode(&distinct_messages(2)), vec![0]].concat(),
         WireError::Long,
         text,
     );
-    refuses(
-        &[encode(&many(14)), vec![0]].concat(),
+    assert_rejected(
+        &[encode(&distinct_messages(2)), vec![0; 17]].concat(),
+        WireError::Long,
+        text,
+    );
+    assert_rejected(
+        &[encode(&distinct_messages(14)), vec![0]].concat(),
         WireError::Long,
         text,
     );
@@ -280,22 +291,22 @@
 
 #[test]
 fn unknown_kind_is_refused_with_its_number() {
-    let mut bytes = encode(&many(2));
+    let mut bytes = encode(&distinct_messages(2));
     for (kind, text) in [(6, "unknown kind 6"), (255, "unknown kind 255")] {
         bytes[2 + 17] = kind;
-        refuses(&bytes, WireError::Unknown("kind", kind), text);
+        assert_rejected(&bytes, WireError::Unknown("kind", kind), text);
     }
 }
 
 #[test]
 fn count_other_than_the_messages_that_follow_is_refused() {
-    let mut bytes = encode(&many(2));
+    let mut bytes = encode(&distinct_messages(2));
     for count in [3, 15, 255] {
         bytes[1] = count;
-        refuses(&bytes, WireError::Short, "the datagram ends inside a field");
+        assert_rejected(&bytes, WireError::Short, "the datagram ends inside a field");
     }
     bytes[1] = 1;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Long,
         "the datagram is longer than what it says",
@@ -304,9 +315,9 @@
 
 #[test]
 fn one_message_more_than_fits_is_refused_as_long() {
-    let mut bytes = [encode(&many(14)), vec![0; 17]].concat();
+    let mut bytes = [encode(&distinct_messages(14)), vec![0; 17]].concat();
     bytes[1] = 15;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Long,
         "the datagram is longer than what it says",
@@ -354,7 +365,7 @@
 }
 
 #[test]
-fn replica_order_of_a_key_keeps_its_members_places() {
+fn replica_order_of_a_key_is_unchanged() {
     let orders: [(KeyHash, [u32; 9], [u32; 5]); 5] = [
         (
             KeyHash(0),
@@ -417,26 +428,41 @@
 #[test]
 fn record_goes_to_the_first_two_replicas_and_then_to_one_more_each_time_up_to_four() {
     let record = "c1 01  00 0102030405060708 1112131415161718";
-    let mut store = gateway();
-    store.record(Timestamp::ZERO, KEY, AT, &gateways(&GATEWAYS));
-    assert_eq!(sent(&mut store, 0), to_each(&[1, 5], record));
-    assert_eq!(sent(&mut store, 10), to_each(&[1, 5, 6], record));
-    assert_eq!(sent(&mut store, 20), to_each(&[1, 4, 5, 6], record));
-    assert_eq!(sent(&mut store, 30), to_each(&[1, 4, 5, 6], record));
+    let mut store = store_of_gateway_2();
+    store.record(Timestamp::ZERO, KEY, FIRST_SENT_AT, &gateways(&GATEWAYS));
+    assert_eq!(sent_datagrams_at(&mut store, 0), to_each(&[1, 5], record));
+    assert_eq!(
+        sent_datagrams_at(&mut store, 10),
+        to_each(&[1, 5, 6], record)
+    );
+    assert_eq!(
+        sent_datagrams_at(&mut store, 20),
+        to_each(&[1, 4, 5, 6], record)
+    );
+    assert_eq!(
+        sent_datagrams_at(&mut store, 30),
+        to_each(&[1, 4, 5, 6], record)
+    );
 }
 
 #[test]
 fn look_up_goes_to_the_first_six_replicas() {
-    let mut store = gateway();
+    let mut store = store_of_gateway_2();
     store.look_up(Timestamp::ZERO, KEY, &gateways(&GATEWAYS));
     let look_up = "c1 01  02 0102030405060708 0000000000000000";
-    assert_eq!(sent(&mut store, 0), to_each(&[1, 3, 4, 5, 6, 8], look_up));
+    assert_eq!(
+        sent_datagrams_at(&mut store, 0),
+        to_each(&[1, 3, 4, 5, 6, 8], look_up)
+    );
 }
 
 #[test]
 fn withdrawal_goes_to_the_first_four_replicas() {
-    let mut store = gateway();
+    let mut store = store_of_gateway_2();
     store.withdraw(KEY, &gateways(&GATEWAYS));
     let withdrawal = "c1 01  05 0102030405060708 0000000000000000";
-    assert_eq!(sent(&mut store, 0), to_each(&[1, 4, 5, 6], withdrawal));
+    assert_eq!(
+        sent_datagrams_at(&mut store, 0),
+        to_each(&[1, 4, 5, 6], withdrawal)
+    );
 }
--- a/crates/write-intents/tests/simulation/mod.rs
+++ b/crates/write-intents/tests/simulation/mod.rs
@@ -14,7 +14,7 @@
 struct Arrival {
     at: Timestamp,
     /// Sequence number, assigned in the order of sending.
-    number: u64,
+    sequence_number: u64,
 }
 
 /// Identifies an operation within the fleet.
@@ -24,7 +24,7 @@
     operation: OperationId,
 }
 
-struct Flight {
+struct InFlightDatagram {
     from: GatewayId,
     to: GatewayId,
     bytes: Vec<u8>,
@@ -34,11 +34,11 @@
     pub now: Timestamp,
     /// The stores of the gateways, indexed by gateway id. `None` for a dead gateway.
     pub stores: Vec<Option<IntentStore>>,
-    flights: BTreeMap<Arrival, Flight>,
-    sent_in_order: u64,
+    in_flight: BTreeMap<Arrival, InFlightDatagram>,
+    last_sequence_number: u64,
     loss_percent: u64,
     rng: SmallRng,
-    ended: HashMap<FleetOperation, Outcome>,
+    outcomes: HashMap<FleetOperation, Outcome>,
 }
 
 impl Fleet {
@@ -48,15 +48,15 @@
         Fleet {
             now: Timestamp::ZERO + RETENTION,
             stores: (0..size).map(|number| Some(store(number))).collect(),
-            flights: BTreeMap::new(),
-            sent_in_order: 0,
+            in_flight: BTreeMap::new(),
+            last_sequence_number: 0,
             loss_percent,
             rng: SmallRng::seed_from_u64(seed),
-            ended: HashMap::new(),
+            outcomes: HashMap::new(),
         }
     }
 
-    pub fn all(&self) -> Vec<GatewayId> {
+    pub fn all_gateways(&self) -> Vec<GatewayId> {
         (0..self.stores.len() as u32).map(GatewayId).collect()
     }
 
@@ -75,7 +75,7 @@
                 Action::Send { to, bytes } => self.send(gateway, to, bytes),
                 Action::Ended { operation, outcome } => {
                     let operation = FleetOperation { gateway, operation };
-                    let earlier = self.ended.insert(operation, outcome);
+                    let earlier = self.outcomes.insert(operation, outcome);
                     assert!(earlier.is_none(), "two outcomes");
                 }
             }
@@ -88,21 +88,22 @@
         if self.random_below(100) < self.loss_percent {
             return;
         }
-        self.sent_in_order += 1;
+        self.last_sequence_number += 1;
         let delay = Milliseconds(1 + self.random_below(3));
         let arrival = Arrival {
             at: self.now + delay,
-            number: self.sent_in_order,
+            sequence_number: self.last_sequence_number,
         };
-        self.flights.insert(arrival, Flight { from, to, bytes });
+        self.in_flight
+            .insert(arrival, InFlightDatagram { from, to, bytes });
     }
 
     fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.random_range(0..bound)
     }
 
-    pub fn run(&mut self, length: Milliseconds) {
-        let end = self.now + length;
+    pub fn run(&mut self, duration: Milliseconds) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += Milliseconds(1);
             self.deliver_datagrams();
@@ -112,20 +113,20 @@
 
     fn deliver_datagrams(&mut self) {
         let now = self.now;
-        while let Some(entry) = self.flights.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().at > now {
                 break;
             }
-            let flight = entry.remove();
-            self.call(flight.to, |store, now| {
-                let received = store.receive(now, flight.from, &flight.bytes);
+            let datagram = entry.remove();
+            self.call(datagram.to, |store, now| {
+                let received = store.receive(now, datagram.from, &datagram.bytes);
                 received.expect("decodes");
             });
         }
     }
 
     fn advance_stores(&mut self) {
-        for gateway in self.all() {
+        for gateway in self.all_gateways() {
             let store = self.stores[gateway.0 as usize].as_ref();
             if store.is_some_and(|store| store.next_due() <= self.now) {
                 self.call(gateway, IntentStore::advance);
@@ -140,23 +141,23 @@
         key: KeyHash,
         first_sent_at: UnixMilliseconds,
     ) -> Outcome {
-        let all = self.all();
+        let all_gateways = self.all_gateways();
         let operation = self.call(gateway, |store, now| {
-            store.record(now, key, first_sent_at, &all)
+            store.record(now, key, first_sent_at, &all_gateways)
         });
         self.outcome(gateway, operation)
     }
 
     /// Lets a gateway look a key up, runs the fleet for 200 ms, and returns the outcome.
     pub fn look_up(&mut self, gateway: GatewayId, key: KeyHash) -> Outcome {
-        let all = self.all();
-        let operation = self.call(gateway, |store, now| store.look_up(now, key, &all));
+        let all_gateways = self.all_gateways();
+        let operation = self.call(gateway, |store, now| store.look_up(now, key, &all_gateways));
         self.outcome(gateway, operation)
     }
 
     fn outcome(&mut self, gateway: GatewayId, operation: Option<OperationId>) -> Outcome {
         self.run(Milliseconds(200));
         let operation = operation.expect("the gateway runs");
-        self.ended[&FleetOperation { gateway, operation }]
+        self.outcomes[&FleetOperation { gateway, operation }]
     }
 }
