--- a/crates/leases/src/claim.rs
+++ b/crates/leases/src/claim.rs
@@ -114,7 +114,7 @@
         request_times
             .get(majority - 1)
             .map_or(Timestamp::ZERO, |&at| {
-                (at + terms.length).saturating_sub(terms.margin)
+                (at + terms.duration).saturating_sub(terms.margin)
             })
     }
 
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -228,7 +228,7 @@
     /// Returns the time at which all leases are released because this gateway is in a minority partition, if it is.
     fn minority_deadline(&self) -> Option<Timestamp> {
         self.minority_entered_at
-            .map(|since| since + self.settings.lease_length)
+            .map(|since| since + self.settings.lease_duration)
     }
 
     /// Removes and returns the actions that the caller has to carry out, in order.
--- a/crates/leases/src/manager/answers.rs
+++ b/crates/leases/src/manager/answers.rs
@@ -89,7 +89,7 @@
         if let Some(epoch) = state.held_epoch {
             if superseded {
                 state.held_epoch = None;
-                state.next_due = now + settings.lease_length;
+                state.next_due = now + settings.lease_duration;
                 self.actions.push(Action::Lost {
                     task: message.task,
                     epoch,
@@ -104,13 +104,13 @@
             // Another gateway holds the lease, or the voter was started recently. The next claim or request is due when
             // the voter's promise has expired, plus a delay for each rank so that the candidates do not claim at the
             // same time.
-            let remaining = message.remaining.min(settings.lease_length);
+            let remaining = message.remaining.min(settings.lease_duration);
             let delay = settings.candidate_delay() * state.candidacy.rank as u64;
             let retry_at = now + remaining + delay;
             state.next_due = match state.claim.epoch() {
                 None => retry_at,
                 Some(_) => {
-                    let claim_deadline = state.claim_started + settings.lease_length;
+                    let claim_deadline = state.claim_started + settings.lease_duration;
                     state.next_due.max(retry_at.min(claim_deadline))
                 }
             };
--- a/crates/leases/src/manager/claims.rs
+++ b/crates/leases/src/manager/claims.rs
@@ -66,10 +66,10 @@
         };
         if !may_claim || !state.candidacy.is_candidate() {
             state.claim.end();
-            state.next_due = now + settings.lease_length;
+            state.next_due = now + settings.lease_duration;
         } else if state.claim.epoch().is_none() {
             self.start_pre_vote(now, task);
-        } else if now >= state.claim_started + settings.lease_length {
+        } else if now >= state.claim_started + settings.lease_duration {
             self.abandon_claim(now, task);
         } else {
             self.request_grants(now, task);
@@ -166,7 +166,7 @@
         };
         state.claim.end();
         state.outranked_since = None;
-        state.next_due = now + self.settings.lease_length;
+        state.next_due = now + self.settings.lease_duration;
         let first = state.candidacy.first;
         let Some(epoch) = state.held_epoch.take() else {
             return;
--- a/crates/leases/src/settings.rs
+++ b/crates/leases/src/settings.rs
@@ -4,9 +4,9 @@
 use thiserror::Error;
 
 /// The shortest lease duration that is accepted.
-const MIN_LEASE_LENGTH: Milliseconds = Milliseconds(100);
+const MIN_LEASE_DURATION: Milliseconds = Milliseconds(100);
 /// The longest lease duration that is accepted.
-const MAX_LEASE_LENGTH: Milliseconds = Milliseconds(60_000);
+const MAX_LEASE_DURATION: Milliseconds = Milliseconds(60_000);
 
 /// Settings of leases, the same at all gateways of the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -14,7 +14,7 @@
     /// Number of gateways in the fleet's list.
     pub fleet: u32,
     /// Duration of a lease: the time from a voter's grant until the grant expires.
-    pub lease_length: Milliseconds,
+    pub lease_duration: Milliseconds,
 }
 
 /// A setting that is out of its range.
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseTerms {
     /// Time from a voter's grant until the grant expires.
-    pub length: Milliseconds,
+    pub duration: Milliseconds,
     /// Time that the holder subtracts from the duration, because clocks run at different rates.
     pub margin: Milliseconds,
 }
@@ -42,8 +42,8 @@
     #[must_use]
     pub fn terms(&self) -> LeaseTerms {
         LeaseTerms {
-            length: self.lease_length,
-            margin: self.lease_length / 10,
+            duration: self.lease_duration,
+            margin: self.lease_duration / 10,
         }
     }
 
@@ -51,27 +51,27 @@
     /// of the datagrams lost, each voter grants every second round on average.
     #[must_use]
     pub fn request_interval(&self) -> Milliseconds {
-        self.lease_length / 5
+        self.lease_duration / 5
     }
 
     /// Returns the delay between the claims of two candidates of consecutive ranks.
     #[must_use]
     pub fn candidate_delay(&self) -> Milliseconds {
-        self.lease_length / 5
+        self.lease_duration / 5
     }
 
     /// Returns how long before the end of its lease a holder starts to renew it. Together with the margin of a tenth,
     /// this is three tenths of the lease duration after the request of the latest round that a majority granted.
     #[must_use]
     pub fn renewal_lead(&self) -> Milliseconds {
-        self.lease_length * 6 / 10
+        self.lease_duration * 6 / 10
     }
 
     /// Returns how long another gateway must have been the first candidate before the holder hands the lease over. The
     /// delay prevents brief changes in the view of the fleet from moving leases.
     #[must_use]
     pub fn handover_delay(&self) -> Milliseconds {
-        self.lease_length * 2
+        self.lease_duration * 2
     }
 
     /// Returns the maximum time from the death of a holder until its task has another holder, provided that a majority
@@ -79,7 +79,7 @@
     /// remaining time of the lease, the delay of the third candidate, and the time for two claims.
     #[must_use]
     pub fn takeover_bound(&self) -> Milliseconds {
-        self.lease_length * 2 + self.candidate_delay() * 2
+        self.lease_duration * 2 + self.candidate_delay() * 2
     }
 
     /// Checks that each setting is in its range.
@@ -88,11 +88,11 @@
     /// A setting is out of its range.
     pub fn check(&self) -> Result<(), SettingsError> {
         let field = "lease_ms";
-        if self.lease_length < MIN_LEASE_LENGTH {
+        if self.lease_duration < MIN_LEASE_DURATION {
             let reason = "at least 100, or renewals would crowd the socket";
             return Err(SettingsError { field, reason });
         }
-        if self.lease_length > MAX_LEASE_LENGTH {
+        if self.lease_duration > MAX_LEASE_DURATION {
             let reason = "at most 60000, as a duty without its owner waits that long";
             return Err(SettingsError { field, reason });
         }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -45,14 +45,14 @@
 }
 
 impl Voter {
-    /// Creates a voter whose process started at `started`. It grants nothing until `lease_length` has passed since
+    /// Creates a voter whose process started at `started`. It grants nothing until `lease_duration` has passed since
     /// then.
     #[must_use]
-    pub fn new(started: Timestamp, lease_length: Milliseconds) -> Self {
+    pub fn new(started: Timestamp, lease_duration: Milliseconds) -> Self {
         Self {
             epoch: Epoch::default(),
             holder: None,
-            promised_until: started + lease_length,
+            promised_until: started + lease_duration,
         }
     }
 
@@ -60,7 +60,7 @@
     pub fn request(
         &mut self,
         now: Timestamp,
-        lease_length: Milliseconds,
+        lease_duration: Milliseconds,
         claimant: GatewayProcess,
         epoch: Epoch,
     ) -> Vote {
@@ -72,7 +72,7 @@
             *self = Self {
                 epoch,
                 holder: Some(claimant),
-                promised_until: now + lease_length,
+                promised_until: now + lease_duration,
             };
             return Vote::Granted { previous };
         }
--- a/crates/leases/src/voter_role.rs
+++ b/crates/leases/src/voter_role.rs
@@ -43,7 +43,7 @@
         claimant: GatewayProcess,
         message: &LeaseMessage,
     ) -> Option<LeaseMessage> {
-        let lease = self.settings.lease_length;
+        let lease = self.settings.lease_duration;
         let voter = self.voter(now, message.task)?;
         let vote = match message.kind {
             MessageKind::PreVote => voter.pre_vote(now, claimant),
@@ -72,7 +72,7 @@
         if !self.voters.contains_key(&task) && !self.ensure_capacity(now) {
             return None;
         }
-        let new = Voter::new(self.started, self.settings.lease_length);
+        let new = Voter::new(self.started, self.settings.lease_duration);
         Some(self.voters.entry(task).or_insert(new))
     }
 
@@ -83,7 +83,7 @@
             return true;
         }
         let idle_since =
-            now.saturating_sub(self.settings.lease_length * IDLE_LEASES_BEFORE_EVICTION);
+            now.saturating_sub(self.settings.lease_duration * IDLE_LEASES_BEFORE_EVICTION);
         self.voters.retain(|_, voter| !voter.is_idle(idle_since));
         self.voters.len() < MAX_TASKS
     }
--- a/crates/leases/tests/codec.rs
+++ b/crates/leases/tests/codec.rs
@@ -59,7 +59,7 @@
             *first = codec::MAGIC;
         }
         let local = GatewayProcess::first(GatewayId(0));
-        let settings = Settings { fleet: 5, lease_length: Milliseconds(1_000) };
+        let settings = Settings { fleet: 5, lease_duration: Milliseconds(1_000) };
         let mut manager = LeaseManager::new(local, settings, Timestamp::ZERO).expect("settings");
         if manager.receive(Timestamp::from_millis(10), GatewayId(1), &bytes).is_err() {
             prop_assert_eq!(manager.drain_actions().count(), 0);
--- a/crates/leases/tests/manager.rs
+++ b/crates/leases/tests/manager.rs
@@ -17,7 +17,7 @@
 fn manager(local: GatewayProcess, fleet: u32) -> LeaseManager {
     let settings = Settings {
         fleet,
-        lease_length: LEASE,
+        lease_duration: LEASE,
     };
     LeaseManager::new(local, settings, Timestamp::ZERO).expect("settings")
 }
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -16,7 +16,7 @@
 
 const LEASE: Milliseconds = Milliseconds(2);
 const TERMS: LeaseTerms = LeaseTerms {
-    length: LEASE,
+    duration: LEASE,
     margin: Milliseconds::ZERO,
 };
 const VOTERS: usize = 3;
--- a/crates/leases/tests/settings.rs
+++ b/crates/leases/tests/settings.rs
@@ -6,7 +6,7 @@
 fn rejection(lease_ms: u64) -> Option<String> {
     let settings = Settings {
         fleet: 5,
-        lease_length: Milliseconds(lease_ms),
+        lease_duration: Milliseconds(lease_ms),
     };
     settings.check().err().map(|error| error.to_string())
 }
--- a/crates/leases/tests/simulation/mod.rs
+++ b/crates/leases/tests/simulation/mod.rs
@@ -95,7 +95,7 @@
 pub fn settings(fleet: u32) -> Settings {
     Settings {
         fleet,
-        lease_length: LEASE,
+        lease_duration: LEASE,
     }
 }
 
--- a/crates/testbed/src/cluster/leases.rs
+++ b/crates/testbed/src/cluster/leases.rs
@@ -205,7 +205,7 @@
 fn check_gaps(cluster: &Cluster, set: u64, bounds: Bounds, findings: &mut LeaseFindings) {
     let settings = Settings {
         fleet: cluster.plan.gateways as u32,
-        lease_length: Milliseconds(bounds.lease_ms),
+        lease_duration: Milliseconds(bounds.lease_ms),
     };
     let bound = settings.takeover_bound().0 + SLACK_MS;
     let mut last_at = bounds.from;
--- a/src/net/cluster/leases.rs
+++ b/src/net/cluster/leases.rs
@@ -106,7 +106,7 @@
     ) -> Result<Self, SettingsError> {
         let settings = Settings {
             fleet: gateways.len() as u32,
-            lease_length: Milliseconds(lease_ms),
+            lease_duration: Milliseconds(lease_ms),
         };
         let manager = LeaseManager::new(membership.local_process(), settings, Timestamp::ZERO)?;
         log!("leases: on, with leases of {lease_ms} ms");
--- a/src/net/config/operator_config.rs
+++ b/src/net/config/operator_config.rs
@@ -254,7 +254,7 @@
     fn check_lease_settings(&self) -> Option<Problem> {
         let settings = irisrouter_leases::Settings {
             fleet: SMALLEST_FLEET,
-            lease_length: Milliseconds(self.leases.lease_ms),
+            lease_duration: Milliseconds(self.leases.lease_ms),
         };
         let error = settings.check().err()?;
         Some(Problem::new("/takeover", error.to_string()))
