--- a/crates/leases/src/settings.rs
+++ b/crates/leases/src/settings.rs
@@ -89,11 +89,12 @@
     pub fn check(&self) -> Result<(), SettingsError> {
         let field = "lease_ms";
         if self.lease_duration < MIN_LEASE_DURATION {
-            let reason = "at least 100, or renewals would crowd the socket";
+            let reason = "at least 100: renewals of shorter leases would overload the peer socket";
             return Err(SettingsError { field, reason });
         }
         if self.lease_duration > MAX_LEASE_DURATION {
-            let reason = "at most 60000, as a duty without its owner waits that long";
+            let reason =
+                "at most 60000: the task of a dead holder waits that long for another holder";
             return Err(SettingsError { field, reason });
         }
         Ok(())
--- a/crates/leases/tests/settings.rs
+++ b/crates/leases/tests/settings.rs
@@ -13,8 +13,10 @@
 
 #[test]
 fn lease_outside_its_limits_is_refused_with_field_and_reason() {
-    let too_short = "lease_ms: at least 100, or renewals would crowd the socket";
-    let too_long = "lease_ms: at most 60000, as a duty without its owner waits that long";
+    let too_short =
+        "lease_ms: at least 100: renewals of shorter leases would overload the peer socket";
+    let too_long =
+        "lease_ms: at most 60000: the task of a dead holder waits that long for another holder";
     assert_eq!(rejection(99).as_deref(), Some(too_short));
     assert_eq!(rejection(100), None);
     assert_eq!(rejection(60_000), None);
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -317,9 +317,9 @@
     not taken:
       /membership/probe_period_ms: -10 is less than the minimum of 0
     not taken:
-      /takeover: lease_ms: at least 100, or renewals would crowd the socket
+      /takeover: lease_ms: at least 100: renewals of shorter leases would overload the peer socket
     not taken:
-      /takeover: lease_ms: at most 60000, as a duty without its owner waits that long
+      /takeover: lease_ms: at most 60000: the task of a dead holder waits that long for another holder
     not taken:
       /takeover/lease_ms: invalid type: floating point `1e+30`, expected u64
     not taken:
