--- a/crates/leases/src/manager/claims.rs
+++ b/crates/leases/src/manager/claims.rs
@@ -7,19 +7,20 @@
 use irisrouter_cluster_types::{Epoch, TaskId, Timestamp};
 
 impl LeaseManager {
-    /// Renews or claims the lease on a task, or finds that it has expired.
+    /// Performs the work that is due for a task: renews its lease, hands it over or ends it if this gateway holds it,
+    /// and otherwise advances the claim.
     pub(super) fn process_due_task(&mut self, now: Timestamp, task: TaskId) {
         let Some(state) = self.tasks.get(&task) else {
             return;
         };
         match state.held_epoch {
-            Some(epoch) => self.maintain_lease(now, task, epoch),
-            None => self.pursue_lease(now, task),
+            Some(epoch) => self.maintain_held_lease(now, task, epoch),
+            None => self.advance_claim(now, task),
         }
     }
 
-    /// The holder's work: notice that the lease has expired, hand it over to the first candidate, or renew it.
-    fn maintain_lease(&mut self, now: Timestamp, task: TaskId, epoch: Epoch) {
+    /// As the holder, reports that the lease has expired, hands it over to the first candidate, or renews it.
+    fn maintain_held_lease(&mut self, now: Timestamp, task: TaskId, epoch: Epoch) {
         let settings = self.settings;
         let Some(state) = self.tasks.get_mut(&task) else {
             return;
@@ -35,16 +36,16 @@
             });
             return;
         }
-        state.other_first_since = match state.candidacy.rank {
+        state.outranked_since = match state.candidacy.rank {
             0 => None,
-            _ => state.other_first_since.or(Some(now)),
+            _ => state.outranked_since.or(Some(now)),
         };
         let handover_due = state
-            .other_first_since
+            .outranked_since
             .is_some_and(|since| now >= since + settings.handover_delay());
         if handover_due {
             let first = state.candidacy.first;
-            self.give_up(now, task, LeaseChange::HandedOver(first));
+            self.relinquish(now, task, LeaseChange::HandedOver(first));
             return;
         }
         let valid_until = state.claim.valid_until(settings.terms());
@@ -56,8 +57,8 @@
         self.request_grants(now, task);
     }
 
-    /// The work of a gateway that does not hold the lease: hold a pre-vote, request the grants again, or end the claim.
-    fn pursue_lease(&mut self, now: Timestamp, task: TaskId) {
+    /// As a gateway that does not hold the lease, starts a pre-vote, requests the grants again, or ends the claim.
+    fn advance_claim(&mut self, now: Timestamp, task: TaskId) {
         let settings = self.settings;
         let may_claim = self.side == PartitionSide::Majority;
         let Some(state) = self.tasks.get_mut(&task) else {
@@ -65,18 +66,18 @@
         };
         if !may_claim || !state.candidacy.is_candidate() {
             state.claim.end();
-            state.next_due = now + settings.lease_length;
+            state.next_due = now + settings.lease_duration;
         } else if state.claim.epoch().is_none() {
             self.start_pre_vote(now, task);
-        } else if now >= state.claim_started + settings.lease_length {
+        } else if now >= state.claim_started + settings.lease_duration {
             self.abandon_claim(now, task);
         } else {
             self.request_grants(now, task);
         }
     }
 
-    /// Ends a claim that no majority granted for the length of a lease. What was granted is released, so that another
-    /// candidate may have it.
+    /// Ends a claim that no majority has granted within the duration of one lease after its start. Releases the grants
+    /// of single voters so that another candidate can obtain them.
     fn abandon_claim(&mut self, now: Timestamp, task: TaskId) {
         let settings = self.settings;
         self.release_epoch(now, task);
@@ -85,11 +86,11 @@
         }
     }
 
-    /// Asks all voters whether they would grant a request, before any is made.
+    /// Asks all voters whether they would grant a request, before any request is sent.
     ///
-    /// A claim that can't succeed takes the grants of single voters away from others, and its later epoch ends the lease of a
-    /// holder that is well. Without the pre-vote, two candidates that stood by could so keep a task from having any holder,
-    /// for as long as they tried.
+    /// A claim without a majority takes the grants of single voters away from other candidates, and its later epoch
+    /// ends the lease of a healthy holder. Without the pre-vote, two candidates on standby could prevent a task from
+    /// having any holder for as long as they repeated their claims.
     fn start_pre_vote(&mut self, now: Timestamp, task: TaskId) {
         self.last_pre_vote_round = self.last_pre_vote_round.wrapping_add(1);
         let round = self.last_pre_vote_round;
@@ -98,7 +99,7 @@
         };
         state.pre_vote = Some(PreVote {
             round,
-            vacant_at: Vec::new(),
+            vacant_voters: Vec::new(),
         });
         state.next_due = now + self.settings.request_interval();
         let message = LeaseMessage {
@@ -108,7 +109,7 @@
         self.ask_voters(now, &message);
     }
 
-    /// Starts a claim, after a pre-vote in which a majority of the voters would have granted it.
+    /// Starts a claim after a pre-vote in which a majority of the voters answered that they would grant it.
     pub(super) fn start_claim(&mut self, now: Timestamp, task: TaskId) {
         let unix_now = self.clock_origin + now.since_origin();
         let Some(state) = self.tasks.get_mut(&task) else {
@@ -121,7 +122,7 @@
         self.request_grants(now, task);
     }
 
-    /// Requests the epoch claimed or held from all voters.
+    /// Sends all voters a round of requests for the epoch that this gateway claims or holds.
     fn request_grants(&mut self, now: Timestamp, task: TaskId) {
         let Some(state) = self.tasks.get_mut(&task) else {
             return;
@@ -138,32 +139,34 @@
         self.ask_voters(now, &message);
     }
 
-    /// Sends a question to all voters. Where this gateway is one of them, its own answer is processed at once.
-    fn ask_voters(&mut self, now: Timestamp, question: &LeaseMessage) {
-        let Some(state) = self.tasks.get(&question.task) else {
+    /// Sends a request or a pre-vote to all voters. If this gateway is one of them, its own vote is processed
+    /// immediately.
+    fn ask_voters(&mut self, now: Timestamp, message: &LeaseMessage) {
+        let Some(state) = self.tasks.get(&message.task) else {
             return;
         };
         let local = self.local;
         for &voter in state.voters.iter().filter(|&&voter| voter != local.gateway) {
-            self.outbox.push(voter, *question);
+            self.outbox.push(voter, *message);
         }
         if !state.voters.contains(&local.gateway) {
             return;
         }
-        if let Some(vote) = self.voter_role.vote(now, local, question) {
+        if let Some(vote) = self.voter_role.vote(now, local, message) {
             self.process_answer(now, local.gateway, &vote);
         }
     }
 
-    /// Ends what is held or claimed, releases it at the voters, and offers it to the first candidate.
-    pub(super) fn give_up(&mut self, now: Timestamp, task: TaskId, change: LeaseChange) {
+    /// Ends the claim or the lease of this gateway and releases its epoch at the voters. A lease that was held is
+    /// offered to the first candidate, if that is another gateway.
+    pub(super) fn relinquish(&mut self, now: Timestamp, task: TaskId, change: LeaseChange) {
         let released = self.release_epoch(now, task);
         let Some(state) = self.tasks.get_mut(&task) else {
             return;
         };
         state.claim.end();
-        state.other_first_since = None;
-        state.next_due = now + self.settings.lease_length;
+        state.outranked_since = None;
+        state.next_due = now + self.settings.lease_duration;
         let first = state.candidacy.first;
         let Some(epoch) = state.held_epoch.take() else {
             return;
@@ -179,7 +182,8 @@
         }
     }
 
-    /// Releases the epoch claimed or held at all voters, and returns it.
+    /// Releases, at all voters, the epoch that this gateway claims or holds. Returns that epoch, or `None` if there is
+    /// no claim.
     fn release_epoch(&mut self, now: Timestamp, task: TaskId) -> Option<Epoch> {
         let state = self.tasks.get(&task)?;
         let epoch = state.claim.epoch()?;
--- a/crates/leases/tests/simulation/mod.rs
+++ b/crates/leases/tests/simulation/mod.rs
@@ -1,5 +1,6 @@
-//! A whole fleet of [`LeaseManager`]s on a simulated network, in virtual time and seeded: crashes, restarts, stalls, network
-//! partitions and loss, with views that lag behind. At every step no task may have two holders, and epochs may only grow.
+//! Simulation of a fleet of [`LeaseManager`]s on a network, in virtual time and with a seed. The faults are crashes,
+//! restarts, stalls, network partitions, lost datagrams, and views of the fleet that are out of date. Each step checks
+//! that no task has two holders. Each acquisition checks that epochs only increase.
 
 use irisrouter_cluster_types::{
     Epoch, GatewayId, GatewayProcess, Generation, Milliseconds, TaskId, Timestamp, UnixMilliseconds,
@@ -11,11 +12,11 @@
 
 pub const LEASE: Milliseconds = Milliseconds(1_000);
 
-/// The time between two steps of the simulation.
+/// Virtual time between two steps of the simulation.
 const STEP: Milliseconds = Milliseconds(5);
-/// The wall clock at the start of the simulation.
+/// Wall clock time at the start of the simulation.
 const UNIX_START: UnixMilliseconds = UnixMilliseconds(1_000_000);
-/// Each datagram is under way for at least this time.
+/// Minimum latency of a datagram.
 const SHORTEST_LATENCY: Milliseconds = Milliseconds(1);
 
 pub struct Gateway {
@@ -35,25 +36,26 @@
         }
     }
 
-    fn runs(&self) -> bool {
+    fn is_running(&self) -> bool {
         self.up && !self.stalled
     }
 }
 
-/// When a datagram arrives, and its number among all that were sent: datagrams arrive in this order.
+/// Sort key of the datagrams in flight. Datagrams that arrive at the same time are delivered in the order in which they
+/// were sent.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Timestamp,
-    sent_in_order: u64,
+    sequence_number: u64,
 }
 
-struct Flight {
+struct InFlightDatagram {
     from: GatewayId,
     to: GatewayId,
     bytes: Vec<u8>,
 }
 
-/// A lease that a gateway acquired, as it announced it.
+/// An acquisition of a lease, as the gateway announced it with [`Action::Acquired`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Acquisition {
     pub task: TaskId,
@@ -62,7 +64,7 @@
     pub change: LeaseChange,
 }
 
-/// The latest epoch under which anybody held a lease, and who.
+/// The latest epoch under which a lease was acquired, and its holder.
 #[derive(Debug, Clone, Copy)]
 pub struct LatestHolder {
     pub epoch: Epoch,
@@ -73,27 +75,27 @@
     pub now: Timestamp,
     pub gateways: Vec<Gateway>,
     tasks: Vec<TaskId>,
-    flights: BTreeMap<Arrival, Flight>,
-    sent_in_order: u64,
+    in_flight: BTreeMap<Arrival, InFlightDatagram>,
+    sequence_number: u64,
     rng: SmallRng,
     pub loss_percent: u64,
-    /// Pairs of gateways whose datagrams in this direction are lost.
-    pub cuts: BTreeSet<(GatewayId, GatewayId)>,
-    pub latest: BTreeMap<TaskId, LatestHolder>,
-    /// All leases that were acquired, in order.
+    /// Pairs of a sender and a receiver. All datagrams from the sender to the receiver are lost.
+    pub cut_links: BTreeSet<(GatewayId, GatewayId)>,
+    pub latest_holders: BTreeMap<TaskId, LatestHolder>,
+    /// All acquisitions, in the order in which they were announced.
     pub acquisitions: Vec<Acquisition>,
-    /// When each task last had a holder that runs.
+    /// For each task, the latest time at which a gateway that is not stalled held its lease.
     last_held: BTreeMap<TaskId, Timestamp>,
-    /// The longest time for which a task had no holder that runs.
+    /// The longest time during which no gateway that is not stalled held the lease on a task.
     pub longest_gap: Milliseconds,
-    /// How many datagrams were sent.
-    pub sent: u64,
+    /// Number of datagrams sent, including those that were lost.
+    pub sent_datagram_count: u64,
 }
 
 pub fn settings(fleet: u32) -> Settings {
     Settings {
         fleet,
-        lease_length: LEASE,
+        lease_duration: LEASE,
     }
 }
 
@@ -105,16 +107,16 @@
             now: Timestamp::ZERO,
             gateways: gateways.collect(),
             tasks: (0..tasks).map(TaskId).collect(),
-            flights: BTreeMap::new(),
-            sent_in_order: 0,
+            in_flight: BTreeMap::new(),
+            sequence_number: 0,
             rng: SmallRng::seed_from_u64(seed),
             loss_percent: 0,
-            cuts: BTreeSet::new(),
-            latest: BTreeMap::new(),
+            cut_links: BTreeSet::new(),
+            latest_holders: BTreeMap::new(),
             acquisitions: Vec::new(),
             last_held: BTreeMap::new(),
             longest_gap: Milliseconds::ZERO,
-            sent: 0,
+            sent_datagram_count: 0,
         };
         fleet.update_views();
         for gateway in &mut fleet.gateways {
@@ -123,14 +125,15 @@
         fleet
     }
 
-    /// Every gateway learns which gateways are up and on its side of a network partition.
+    /// Informs every gateway which gateways are up and on its side of a network partition.
     pub fn update_views(&mut self) {
         let up: Vec<GatewayId> = self
             .gateway_ids()
             .filter(|&id| self.gateway(id).up)
             .collect();
         for &id in &up {
-            let reached = |other: &GatewayId| *other == id || !self.cuts.contains(&(id, *other));
+            let reached =
+                |other: &GatewayId| *other == id || !self.cut_links.contains(&(id, *other));
             let alive: Vec<GatewayId> = up.iter().copied().filter(reached).collect();
             let side = if 2 * alive.len() > self.gateways.len() {
                 PartitionSide::Majority
@@ -200,7 +203,9 @@
                         holder,
                         change,
                     });
-                    let last = self.latest.insert(task, LatestHolder { epoch, holder });
+                    let last = self
+                        .latest_holders
+                        .insert(task, LatestHolder { epoch, holder });
                     assert!(
                         last.is_none_or(|last| last.epoch < epoch),
                         "{task:?}: epoch {epoch} after {last:?}"
@@ -213,23 +218,23 @@
 
     fn send(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         assert!(bytes.len() <= codec::MAX_DATAGRAM_BYTES);
-        self.sent += 1;
-        let cut = self.cuts.contains(&(from, to));
+        self.sent_datagram_count += 1;
+        let cut = self.cut_links.contains(&(from, to));
         if cut || self.rng.random_range(0..100) < self.loss_percent {
             return;
         }
-        self.sent_in_order += 1;
+        self.sequence_number += 1;
         let jitter = Milliseconds(self.rng.random_range(0..5));
         let arrival = Arrival {
             at: self.now + SHORTEST_LATENCY + jitter,
-            sent_in_order: self.sent_in_order,
+            sequence_number: self.sequence_number,
         };
-        let flight = Flight { from, to, bytes };
-        self.flights.insert(arrival, flight);
+        let datagram = InFlightDatagram { from, to, bytes };
+        self.in_flight.insert(arrival, datagram);
     }
 
-    pub fn run(&mut self, length: Milliseconds) {
-        let end = self.now + length;
+    pub fn run(&mut self, duration: Milliseconds) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += STEP;
             self.deliver_datagrams();
@@ -241,16 +246,16 @@
     fn deliver_datagrams(&mut self) {
         let now = self.now;
         while let Some(entry) = self
-            .flights
+            .in_flight
             .first_entry()
             .filter(|entry| entry.key().at <= now)
         {
-            let flight = entry.remove();
-            let gateway = self.gateway_mut(flight.to);
-            if gateway.runs() {
-                let received = gateway.manager.receive(now, flight.from, &flight.bytes);
+            let datagram = entry.remove();
+            let gateway = self.gateway_mut(datagram.to);
+            if gateway.is_running() {
+                let received = gateway.manager.receive(now, datagram.from, &datagram.bytes);
                 received.expect("decodes");
-                self.carry_out_actions(flight.to);
+                self.carry_out_actions(datagram.to);
             }
         }
     }
@@ -259,7 +264,7 @@
         let now = self.now;
         for id in self.gateway_ids() {
             let gateway = self.gateway_mut(id);
-            if gateway.runs() && gateway.manager.next_due() <= now {
+            if gateway.is_running() && gateway.manager.next_due() <= now {
                 let unix_now = UNIX_START + now.since_origin();
                 gateway.manager.advance(now, unix_now);
                 self.carry_out_actions(id);
@@ -269,20 +274,20 @@
 
     fn check_holders(&mut self) {
         for &task in &self.tasks {
-            let holds = |gateway: &&Gateway| {
+            let holds_lease = |gateway: &&Gateway| {
                 gateway.up && gateway.manager.fencing_token(self.now, task).is_some()
             };
-            let holders: Vec<&Gateway> = self.gateways.iter().filter(holds).collect();
+            let holders: Vec<&Gateway> = self.gateways.iter().filter(holds_lease).collect();
             assert!(
                 holders.len() <= 1,
                 "at {} ms {task:?} has {} holders",
                 self.now.as_millis(),
                 holders.len()
             );
-            // A gateway that is stalled holds the lease and does nothing.
-            let acts = holders.first().is_some_and(|gateway| !gateway.stalled);
+            // A stalled gateway may hold the lease, but performs no work.
+            let is_active = holders.first().is_some_and(|gateway| !gateway.stalled);
             let last_held = self.last_held.entry(task).or_insert(self.now);
-            if acts {
+            if is_active {
                 *last_held = self.now;
             }
             let gap = self.now.saturating_duration_since(*last_held);
--- a/crates/write-intents/tests/simulation/mod.rs
+++ b/crates/write-intents/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet of [`IntentStore`]s on a simulated network, in virtual time and seeded.
+//! Simulation of a fleet of [`IntentStore`]s on a network, in virtual time and with a seed.
 
 use irisrouter_cluster_types::{GatewayId, Milliseconds, Timestamp, UnixMilliseconds};
 use irisrouter_write_intents::{
@@ -8,22 +8,23 @@
 use rand::{RngExt, SeedableRng};
 use std::collections::{BTreeMap, HashMap};
 
-/// When a datagram arrives. Those that arrive together do so in the order in which they were sent.
+/// Sort key of the datagrams in flight. Datagrams that arrive at the same time are delivered in the order in which they
+/// were sent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Timestamp,
-    /// The datagram's number among all that were sent.
-    number: u64,
+    /// Sequence number, assigned in the order of sending.
+    sequence_number: u64,
 }
 
-/// An operation of one gateway of the fleet.
+/// Identifies an operation within the fleet.
 #[derive(PartialEq, Eq, Hash)]
 struct FleetOperation {
     gateway: GatewayId,
     operation: OperationId,
 }
 
-struct Flight {
+struct InFlightDatagram {
     from: GatewayId,
     to: GatewayId,
     bytes: Vec<u8>,
@@ -31,35 +32,35 @@
 
 pub struct Fleet {
     pub now: Timestamp,
-    /// The gateways by their numbers; none for a dead one.
+    /// The stores of the gateways, indexed by gateway id. `None` for a dead gateway.
     pub stores: Vec<Option<IntentStore>>,
-    flights: BTreeMap<Arrival, Flight>,
-    sent_in_order: u64,
+    in_flight: BTreeMap<Arrival, InFlightDatagram>,
+    last_sequence_number: u64,
     loss_percent: u64,
     rng: SmallRng,
-    ended: HashMap<FleetOperation, Outcome>,
+    outcomes: HashMap<FleetOperation, Outcome>,
 }
 
 impl Fleet {
-    /// Gateways that were started long enough ago to have lost no records.
+    /// Creates a fleet whose gateways started so long ago that they have all records.
     pub fn new(size: u32, loss_percent: u64, seed: u64) -> Self {
         let store = |number| IntentStore::new(GatewayId(number), Timestamp::ZERO);
         Fleet {
             now: Timestamp::ZERO + RETENTION,
             stores: (0..size).map(|number| Some(store(number))).collect(),
-            flights: BTreeMap::new(),
-            sent_in_order: 0,
+            in_flight: BTreeMap::new(),
+            last_sequence_number: 0,
             loss_percent,
             rng: SmallRng::seed_from_u64(seed),
-            ended: HashMap::new(),
+            outcomes: HashMap::new(),
         }
     }
 
-    pub fn all(&self) -> Vec<GatewayId> {
+    pub fn all_gateways(&self) -> Vec<GatewayId> {
         (0..self.stores.len() as u32).map(GatewayId).collect()
     }
 
-    /// Calls the store of a gateway and carries out its actions; none where the gateway is dead.
+    /// Calls the store of a gateway and carries out its actions. Returns `None` if the gateway is dead.
     pub fn call<R>(
         &mut self,
         gateway: GatewayId,
@@ -74,7 +75,7 @@
                 Action::Send { to, bytes } => self.send(gateway, to, bytes),
                 Action::Ended { operation, outcome } => {
                     let operation = FleetOperation { gateway, operation };
-                    let earlier = self.ended.insert(operation, outcome);
+                    let earlier = self.outcomes.insert(operation, outcome);
                     assert!(earlier.is_none(), "two outcomes");
                 }
             }
@@ -87,21 +88,22 @@
         if self.random_below(100) < self.loss_percent {
             return;
         }
-        self.sent_in_order += 1;
+        self.last_sequence_number += 1;
         let delay = Milliseconds(1 + self.random_below(3));
         let arrival = Arrival {
             at: self.now + delay,
-            number: self.sent_in_order,
+            sequence_number: self.last_sequence_number,
         };
-        self.flights.insert(arrival, Flight { from, to, bytes });
+        self.in_flight
+            .insert(arrival, InFlightDatagram { from, to, bytes });
     }
 
     fn random_below(&mut self, bound: u64) -> u64 {
         self.rng.random_range(0..bound)
     }
 
-    pub fn run(&mut self, length: Milliseconds) {
-        let end = self.now + length;
+    pub fn run(&mut self, duration: Milliseconds) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += Milliseconds(1);
             self.deliver_datagrams();
@@ -111,20 +113,20 @@
 
     fn deliver_datagrams(&mut self) {
         let now = self.now;
-        while let Some(entry) = self.flights.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().at > now {
                 break;
             }
-            let flight = entry.remove();
-            self.call(flight.to, |store, now| {
-                let received = store.receive(now, flight.from, &flight.bytes);
+            let datagram = entry.remove();
+            self.call(datagram.to, |store, now| {
+                let received = store.receive(now, datagram.from, &datagram.bytes);
                 received.expect("decodes");
             });
         }
     }
 
     fn advance_stores(&mut self) {
-        for gateway in self.all() {
+        for gateway in self.all_gateways() {
             let store = self.stores[gateway.0 as usize].as_ref();
             if store.is_some_and(|store| store.next_due() <= self.now) {
                 self.call(gateway, IntentStore::advance);
@@ -132,30 +134,30 @@
         }
     }
 
-    /// Records a write at a gateway, and waits for the outcome.
+    /// Lets a gateway record a write, runs the fleet for 200 ms, and returns the outcome.
     pub fn record(
         &mut self,
         gateway: GatewayId,
         key: KeyHash,
         first_sent_at: UnixMilliseconds,
     ) -> Outcome {
-        let all = self.all();
+        let all_gateways = self.all_gateways();
         let operation = self.call(gateway, |store, now| {
-            store.record(now, key, first_sent_at, &all)
+            store.record(now, key, first_sent_at, &all_gateways)
         });
         self.outcome(gateway, operation)
     }
 
-    /// Looks a key up at a gateway, and waits for the outcome.
+    /// Lets a gateway look a key up, runs the fleet for 200 ms, and returns the outcome.
     pub fn look_up(&mut self, gateway: GatewayId, key: KeyHash) -> Outcome {
-        let all = self.all();
-        let operation = self.call(gateway, |store, now| store.look_up(now, key, &all));
+        let all_gateways = self.all_gateways();
+        let operation = self.call(gateway, |store, now| store.look_up(now, key, &all_gateways));
         self.outcome(gateway, operation)
     }
 
     fn outcome(&mut self, gateway: GatewayId, operation: Option<OperationId>) -> Outcome {
         self.run(Milliseconds(200));
         let operation = operation.expect("the gateway runs");
-        self.ended[&FleetOperation { gateway, operation }]
+        self.outcomes[&FleetOperation { gateway, operation }]
     }
 }
