--- a/crates/membership/simulated-network/src/network.rs
+++ b/crates/membership/simulated-network/src/network.rs
@@ -362,7 +362,10 @@
     /// Puts a datagram in flight, unless its link is cut or it is lost.
     fn transmit(&mut self, from: GatewayId, to: GatewayId, bytes: Vec<u8>) {
         let length = bytes.len();
-        assert!(length <= MAX_DATAGRAM_BYTES, "a datagram of {length} bytes");
+        assert!(
+            length <= MAX_DATAGRAM_BYTES,
+            "datagram of {length} bytes, expected at most {MAX_DATAGRAM_BYTES}"
+        );
         if self.faults.cuts.contains(&Link { from, to }) {
             return;
         }
--- a/crates/membership/simulated-network/src/record.rs
+++ b/crates/membership/simulated-network/src/record.rs
@@ -34,7 +34,7 @@
     pub incarnation: Incarnation,
 }
 
-/// The change of a member to a later generation, after it was notified that the fleet knew a later one than its own.
+/// The change of a member to a later generation, after it received a report of a generation later than its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Renewal {
     /// When the member changed its generation.
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -49,7 +49,7 @@
 const STATE_ALIVE: u8 = 0;
 const STATE_DOWN: u8 = 1;
 
-/// Encodes [`Message::Join`] without a requested member list.
+/// The value on the wire for a [`Message::Join`] that requests no member list.
 const NO_MEMBER_LIST_WANTED: u32 = u32::MAX;
 
 /// The message of a datagram.
@@ -81,7 +81,8 @@
         /// The incarnation of that process.
         incarnation: Incarnation,
     },
-    /// Sent by a member that starts, and by a member to another one that is unknown or down in its view.
+    /// Announces the source, and may request a member list. A member sends joins when it starts, later to members that
+    /// are unknown or down in its view, and to request the next part of a list.
     Join {
         /// The first member of the requested member list; `None` if no list is requested.
         list_from: Option<GatewayId>,
@@ -175,8 +176,8 @@
 ///
 /// # Errors
 ///
-/// Returns the first error found: the bytes are not a membership datagram of this version, are truncated, contain an
-/// unknown value, or are followed by further bytes.
+/// Returns an error if the bytes are not a membership datagram of this version, if they are truncated, if they contain
+/// an unknown kind or state, or if further bytes follow the updates. Returns the first such error found.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, WireError> {
     let mut reader = Reader::new(bytes, MAGIC)?;
     let source = read_process(&mut reader)?;
--- a/crates/membership/src/failure_detector.rs
+++ b/crates/membership/src/failure_detector.rs
@@ -15,7 +15,7 @@
 /// The state of the failure detector.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct FailureDetector {
-    /// The outstanding pings that this member sent on its own account.
+    /// The outstanding pings that this member sent for its own view.
     pub pings: OutstandingPings,
     /// The outstanding pings that this member sent at the request of others.
     pub relayed: RelayedPings,
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,5 +1,6 @@
-//! Sending of datagrams. Updates about changed members are piggybacked on the datagrams of the protocol; a periodic
-//! gossip carries them when there are too few other datagrams.
+//! Sending of datagrams. Queued updates about changed members are piggybacked on all datagrams except member lists. As
+//! long as updates are queued, gossip is also sent periodically, so that they spread where no other datagram carries
+//! them.
 
 use crate::action::Action;
 use crate::codec::{self, Datagram, Message, MAX_UPDATES};
--- a/crates/membership/src/join_leave.rs
+++ b/crates/membership/src/join_leave.rs
@@ -34,7 +34,7 @@
         self.local.has_left = true;
     }
 
-    /// Marks a member down that announced that it leaves the fleet.
+    /// Marks a member as down after it announced that it leaves the fleet.
     pub(crate) fn process_leave(&mut self, source: GatewayProcess, incarnation: Incarnation) {
         self.detector.pings.end(source.gateway);
         self.set_member(source, incarnation, Liveness::Down);
@@ -103,8 +103,8 @@
             .collect()
     }
 
-    /// Requests the next part of a member list if the part that was just merged changed the view. Otherwise two members
-    /// that can't tell each other anything new would exchange joins endlessly.
+    /// Requests the next part of a member list, but only if the part that was just merged changed the view. Without
+    /// this condition, two members that have no new information for each other would exchange joins endlessly.
     pub(crate) fn continue_join(&mut self, from: GatewayId, updates: &[MemberUpdate]) {
         let Some(last) = updates.last() else {
             return;
@@ -115,7 +115,8 @@
         if !view_changed {
             return;
         }
-        // The last number was received in a datagram and may lie outside the list, up to `u32::MAX`.
+        // The addition wraps because the last number was received in a datagram: it may lie outside the fleet's list,
+        // and may even be `u32::MAX`.
         let next = GatewayId(last.process.gateway.0.wrapping_add(1));
         let list_from = self.first_unknown_from(next);
         if list_from.is_some() {
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -5,9 +5,10 @@
 //! are asked to ping it too. A member that still does not ack becomes suspect: it is pinged again in each period, and
 //! is declared down after [`Settings::suspicion_rounds`] more rounds without an answer. This verdict is piggybacked on
 //! the protocol's messages and sent in a small periodic gossip; each member that receives it pings the suspect itself
-//! before it accepts the verdict. A member that receives a report that it is down itself raises its incarnation, which
-//! outranks the verdict. The rules by which the rows of the view change are pure functions in [`merge_rules`], with the
-//! reasons why they differ from SWIM as published; see also `docs/membership.md`.
+//! before it accepts the verdict. A member that is reported down raises its incarnation as soon as it receives the
+//! report, and the higher incarnation outranks the verdict. The rules by which the rows of the view change are pure
+//! functions in [`merge_rules`], with the reasons why they differ from SWIM as published; see also
+//! `docs/membership.md`.
 //!
 //! The core performs no I/O, reads no clock and spawns no tasks: its owner passes in the datagrams and the current
 //! time, and carries out the returned [`Action`]s. All random numbers are derived from a seed. The same core runs in
--- a/crates/membership/src/member_update.rs
+++ b/crates/membership/src/member_update.rs
@@ -1,4 +1,4 @@
-//! The report of one member about another.
+//! Reports about the state of members, which datagrams carry.
 
 use crate::serial_number::Incarnation;
 use irisrouter_cluster_types::GatewayProcess;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -22,7 +22,7 @@
     pub process: GatewayProcess,
     /// The current incarnation; each refutation raises it.
     pub incarnation: Incarnation,
-    /// When this process last took a later generation; `None` if it never did.
+    /// When this process last changed to a later generation; `None` if it never did.
     pub renewed_at: Option<Timestamp>,
     /// Whether this member has announced that it leaves the fleet.
     pub has_left: bool,
@@ -109,7 +109,7 @@
         self.local.has_left
     }
 
-    /// Returns the counts by which this gateway judges which side of a network partition it is on.
+    /// Returns the counts by which this gateway estimates which side of a network partition it is on.
     #[must_use]
     pub fn partition_side(&self) -> PartitionSide {
         PartitionSide {
@@ -122,8 +122,9 @@
 
     /// Processes a datagram that the owner received.
     ///
-    /// No timers fire in this call. After a stall, a process can therefore first read the datagrams that arrived in its
-    /// socket during the stall, before rounds of pings that ended in that time are evaluated.
+    /// No timers fire in this call. After a stall, a process can therefore read the datagrams that arrived in its
+    /// socket during the stall before it evaluates the rounds of pings that ended in that time. Rounds that ended more
+    /// than one protocol period ago are then not counted as missed.
     ///
     /// # Errors
     ///
@@ -160,8 +161,8 @@
         let trusted = trust == SourceTrust::Trusted;
         let for_this_process = datagram.destination == self.local.process;
         match datagram.message {
-            // A ping is answered even if its source is down in the view, because only answers to pings confirm that a
-            // member is alive.
+            // A ping is answered even if its source is down in the view. This does not mark the source alive: only its
+            // own answers to pings confirm that it is.
             Message::Ping { sequence } => self.send(source.gateway, Message::Ack { sequence }),
             Message::Ack { sequence } if for_this_process => {
                 self.process_ack(source, datagram.incarnation, sequence);
@@ -279,6 +280,6 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SourceTrust {
     Trusted,
-    /// The source is down in the view or was replaced by a later process. It has been sent its row.
+    /// The source is down in the view or was replaced by a later process, and has been sent its row of the view.
     Untrusted,
 }
--- a/crates/membership/src/merge_rules.rs
+++ b/crates/membership/src/merge_rules.rs
@@ -1,10 +1,10 @@
-//! The rules by which a row of the view changes, as pure functions. The core applies them, and the model checker checks
-//! the same functions (`tests/suspicion.rs`).
+//! The rules by which a row of the view changes, as pure functions. The core calls the same functions that the model
+//! checker checks (`tests/suspicion.rs`), so the rules that are verified are the rules that run.
 //!
 //! Three rules differ from SWIM as published, each because of a failure that was observed (`docs/membership.md`):
 //!
-//! 1. **No member is declared down because of a report alone.** A member that receives a report that another one is
-//!    down pings that one itself ([`UpdateOutcome::Verify`]); only its own unanswered pings lead to a verdict.
+//! 1. **No member is declared down because of a report alone.** The receiver of a report that a member is down pings
+//!    that member itself ([`UpdateOutcome::Verify`]); only the receiver's own unanswered pings lead to a verdict.
 //! 2. **Only answers to pings confirm that a member is alive.** The mere arrival of a datagram does not end a suspicion
 //!    ([`ContactOutcome`]). Otherwise a gateway that can send but not receive would remain alive forever and keep its
 //!    leases.
@@ -23,7 +23,8 @@
 pub enum UpdateOutcome {
     /// Ignore the update: its content is already known, or is older than the row.
     Stale,
-    /// Send the row to the sender: it reports a member down of which a later incarnation or generation is known.
+    /// Send the row to the sender: the update reports a member down, but for an older incarnation or generation than
+    /// the row has.
     SenderOutdated,
     /// Apply the update: set the row to the reported state.
     Apply,
@@ -38,8 +39,8 @@
     Unchanged,
     /// Mark the member alive: it was unknown, or the datagram is from a later process or a later incarnation.
     Alive,
-    /// Notify the member, and do not use its updates about others: the row has it down or replaced by a later process,
-    /// and the member does not know it.
+    /// Notify the member, and do not use its updates about others: according to the row the member is down or was
+    /// replaced by a later process, and its datagram shows that it has not been notified of this yet.
     NotifySender,
 }
 
@@ -51,8 +52,8 @@
     /// Refute the update: continue in this incarnation and disseminate it.
     Refute(Incarnation),
     /// Continue as this generation, because the fleet knows a later generation of this gateway than the running one.
-    /// This happens if the clock was set back between two starts, or if they are too far apart for the comparison of
-    /// generations.
+    /// This happens if the clock was set back between two starts, or if so much time passed between them that the
+    /// wrapping comparison of their generations yields the opposite order.
     Renew(Generation),
 }
 
--- a/crates/membership/src/outstanding_pings.rs
+++ b/crates/membership/src/outstanding_pings.rs
@@ -13,8 +13,8 @@
 
 /// Maximum number of rounds that run at the same time; further members wait.
 ///
-/// After a partition of a large fleet a member receives hundreds of reports of members that are down within one second.
-/// Pinging all of them at once would overflow its socket.
+/// After a partition of a large fleet, a member may receive reports about hundreds of down members within one second.
+/// Pinging all of these members at once would overflow its socket.
 pub(crate) const MAX_CONCURRENT_ROUNDS: usize = 16;
 
 /// A step of a round of pings.
@@ -193,7 +193,7 @@
     /// Takes the due steps of running rounds.
     ///
     /// A round that should have ended more than one protocol period ago is queued again without being counted as
-    /// missed: this process was paused, and the answers may not have been read.
+    /// missed, because this process was paused and has not read the answers.
     fn take_due_steps(&mut self, now: Timestamp, settings: &Settings) -> Vec<DuePing> {
         let mut due = Vec::new();
         for (&gateway, ping) in &mut self.pings {
--- a/crates/membership/src/partition_side.rs
+++ b/crates/membership/src/partition_side.rs
@@ -1,4 +1,5 @@
-//! Estimates from the view and from the answers to this gateway's own pings which side of a network partition it is on.
+//! The estimate of which side of a network partition this gateway is on. It is based on the view and on the answers to
+//! the gateway's own pings.
 
 use std::collections::VecDeque;
 
@@ -19,12 +20,11 @@
 }
 
 impl PartitionSide {
-    /// Returns whether this side has a majority: more than half of the fleet is reachable. Only such a side may claim
-    /// leases.
+    /// Returns whether this side has a majority: more than half of the fleet is reachable, and at least half of the
+    /// gateway's own recent pings were answered. Only such a side may claim leases, which need a majority.
     ///
-    /// In addition, at least half of the gateway's own recent pings must have been answered. In a large fleet it takes
-    /// many protocol periods until all members on the other side of a partition are down in the view, while the
-    /// gateway's own pings to them fail from the start.
+    /// The pings are considered because in a large fleet it takes many protocol periods until all members on the other
+    /// side of a partition are down in the view, while the gateway's own pings to them fail from the start.
     #[must_use]
     pub const fn has_majority(&self) -> bool {
         2 * self.reachable > self.fleet_size && 2 * self.answered_pings >= self.recent_pings
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -1,10 +1,10 @@
 //! The timings of membership, derived from the size of the fleet.
 //!
-//! The defaults follow the LAN profile of HashiCorp's memberlist. The suspicion time is at least three protocol periods
-//! longer than `max_stall`, the longest stall of a process that must not lead to a verdict. A process that was paused
-//! for that long therefore becomes suspect and then answers, and is not declared down. Suspicion is counted in rounds
-//! without an answer, one per period, and not in elapsed time, because an observer that was paused itself has sent no
-//! pings during its pause.
+//! The defaults follow SWIM with the parameters of the LAN profile of HashiCorp's memberlist. The default suspicion
+//! time is at least three protocol periods longer than `max_stall`, the longest stall of a process that must not lead
+//! to a verdict. A process that was paused for that long therefore becomes suspect and then answers, and is not
+//! declared down. Suspicion is counted in rounds without an answer, one per period, and not in elapsed time, because an
+//! observer that was paused itself has sent no pings during its pause.
 
 use irisrouter_cluster_types::Milliseconds;
 use thiserror::Error;
@@ -24,15 +24,17 @@
     pub fleet_size: u32,
     /// The protocol period: one member is pinged in each.
     pub protocol_period: Milliseconds,
-    /// Time from the first ping of a round until other members are asked to ping, if no ack has arrived. A third ping
-    /// is sent after the same time again.
+    /// Time from the first ping of a round until the second one, if no ack has arrived; other members are then asked to
+    /// ping too. The third ping is sent after the same time again.
     pub ping_timeout: Milliseconds,
     /// Number of members that are asked to ping a member that did not ack.
     pub indirect_pings: usize,
-    /// The longest pause of a process that must lead to a suspicion only, and not to a verdict.
+    /// The longest pause of a process that must not lead to a verdict: the process may become
+    /// suspect, and the suspicion ends when it answers after the pause.
     pub max_stall: Milliseconds,
-    /// Time from the suspicion of a member until it is declared down: at least `4 * max(1, log10 fleet_size)` protocol
-    /// periods, and at least `max_stall` plus three protocol periods.
+    /// Time from the suspicion of a member until it is declared down. The defaults are at least
+    /// `4 * max(1, log10 fleet_size)` protocol periods, and at least `max_stall` plus three protocol periods;
+    /// [`Settings::check`] requires only that the time is longer than `max_stall`.
     pub suspicion: Milliseconds,
     /// Interval at which a join is sent to one member that is unknown or down in the view. This heals partitions and
     /// finds restarted members.
@@ -99,7 +101,7 @@
     }
 
     /// Returns settings with the given protocol period and `max_stall`. All other times are scaled in proportion to the
-    /// protocol period; `suspicion` is raised if it would not be three protocol periods longer than `max_stall`.
+    /// protocol period; `suspicion` is then raised to `max_stall` plus three protocol periods if it is shorter.
     #[must_use]
     pub fn with_protocol_period(
         fleet_size: u32,
@@ -107,8 +109,8 @@
         max_stall: Milliseconds,
     ) -> Self {
         let defaults = Self::for_fleet(fleet_size);
-        let scale = |length: Milliseconds| {
-            length.saturating_mul(protocol_period.0) / defaults.protocol_period.0
+        let scale = |duration: Milliseconds| {
+            duration.saturating_mul(protocol_period.0) / defaults.protocol_period.0
         };
         let min_suspicion = max_stall.saturating_add(protocol_period.saturating_mul(3));
         let shortest = Milliseconds(1);
@@ -127,7 +129,8 @@
     ///
     /// # Errors
     ///
-    /// Returns the first setting found that is zero, or that is longer or shorter than another setting permits.
+    /// Returns an error for the first setting found that is zero although it must not be, or that conflicts with
+    /// another setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_positive()?;
         self.check_order()
@@ -191,15 +194,15 @@
     }
 
     /// Returns the upper bound on the time from the end of a partition until the views of both sides agree: in each
-    /// `rejoin_interval` a member sends a join to one member that it considers down, and the answer is then
-    /// disseminated in the same way as a verdict.
+    /// `rejoin_interval` a member sends a join to one member that is unknown or down in its view, and the answer is
+    /// then disseminated in the same way as a verdict.
     #[must_use]
     pub fn heal_bound(&self) -> Milliseconds {
         self.rejoin_interval * 4 + self.protocol_period * 5
     }
 
-    /// Returns the number of consecutive rounds without an answer, after the first one, after which a suspect member is
-    /// declared down. One round takes one protocol period.
+    /// Returns how many more consecutive rounds a suspect member must leave unanswered to be declared down, not
+    /// counting the round that made it suspect. One round takes one protocol period.
     #[must_use]
     pub fn suspicion_rounds(&self) -> u32 {
         let rounds = self.suspicion.0.div_ceil(self.protocol_period.0.max(1));
@@ -207,8 +210,7 @@
     }
 
     /// Returns the number of times that a member transmits a change: `transmissions_per_digit` for each decimal digit
-    /// of the fleet's size, so that a change reaches all members of a large fleet with the same probability as in a
-    /// small one.
+    /// of the fleet's size, so that a change reaches all members of a large fleet as reliably as those of a small one.
     #[must_use]
     pub fn max_transmissions(&self) -> u32 {
         u32::from(self.transmissions_per_digit.max(1)) * self.digits()
--- a/crates/membership/src/updates.rs
+++ b/crates/membership/src/updates.rs
@@ -53,7 +53,8 @@
         self.send_with_updates(row.process.gateway, Message::Gossip, vec![update]);
     }
 
-    /// Merges the updates of a datagram, and sends the source the newer rows of members on which it is outdated.
+    /// Merges the updates of a datagram, and sends back the rows of those members about which the source has outdated
+    /// information.
     pub(crate) fn process_updates(&mut self, datagram: &Datagram, trust: SourceTrust) {
         let source = datagram.source.gateway;
         let mut corrections = Vec::new();
@@ -107,7 +108,8 @@
         self.dissemination.add(update.process.gateway);
     }
 
-    /// Processes an update about this member itself: refutes it or takes a later generation, as the merge rules decide.
+    /// Processes an update about this member itself: ignores it, refutes it or changes to a later generation, as the
+    /// merge rules decide.
     fn process_update_about_self(&mut self, update: &MemberUpdate, sender: GatewayId) {
         let local = &self.local;
         match merge_rules::merge_update_about_self(local.process, local.incarnation, update) {
@@ -128,15 +130,15 @@
         self.send(sender, Message::Gossip);
     }
 
-    /// Returns whether this member took a later generation within the last suspicion time. Without this pause, two
-    /// processes that were started with the same gateway number would outrank each other endlessly.
+    /// Returns whether this member changed to a later generation within the last suspicion time. Without this pause,
+    /// two processes that were started with the same gateway number would outrank each other endlessly.
     fn renewed_recently(&self) -> bool {
         let pause = self.settings.suspicion;
         let renewed_at = self.local.renewed_at;
         renewed_at.is_some_and(|renewed_at| self.now < renewed_at + pause)
     }
 
-    /// Takes a later generation, in its first incarnation.
+    /// Changes this member to a later generation, in its first incarnation.
     fn renew(&mut self, generation: Generation) {
         self.local.renewed_at = Some(self.now);
         self.local.process.generation = generation;
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -118,7 +118,7 @@
         let mut membership = new_member();
         let _ = membership.receive(Timestamp::from_millis(10), &bytes);
         for member in membership.view().members() {
-            // Each row of the fleet's list remains in one of the four states.
+            // The view holds only gateways of the fleet's list, and each row remains in one of the four states.
             prop_assert!(matches!(member.liveness, Liveness::Unknown | Liveness::Alive | Liveness::Suspect | Liveness::Down));
         }
     }
--- a/crates/membership/tests/faults.rs
+++ b/crates/membership/tests/faults.rs
@@ -49,7 +49,7 @@
     let mut network = SimulatedNetwork::start(7, 1);
     let at = network
         .settle(Milliseconds(20_000))
-        .expect("seven members see each other alive");
+        .expect("all seven members are alive in every view");
     assert!(at <= Timestamp::from_millis(10_000), "settled at {at:?}");
 }
 
@@ -65,7 +65,7 @@
             let at = first_change(&network, observer, GatewayId(3), Liveness::Down, start);
             assert!(
                 at.is_some(),
-                "seed {seed}: member {observer} did not see the crash within {bound} ms"
+                "seed {seed}: member {observer} did not declare 3 down within {bound} ms of its crash"
             );
         }
     }
@@ -92,7 +92,7 @@
             assert_eq!(
                 network.liveness(observer, GatewayId(2)),
                 Some(Liveness::Alive),
-                "seed {seed}: {observer} does not see 2 alive"
+                "seed {seed}: {observer} does not consider 2 alive"
             );
         }
     }
@@ -142,7 +142,11 @@
                 );
             }
         }
-        let side = |gateway| network.partition_side(GatewayId(gateway)).expect("runs");
+        let side = |gateway| {
+            network
+                .partition_side(GatewayId(gateway))
+                .expect("the member has not crashed")
+        };
         assert!(side(0).has_majority() && !side(0).is_alone());
         assert!(
             !side(3).has_majority(),
@@ -195,7 +199,7 @@
         assert!(
             network
                 .partition_side(GatewayId(5))
-                .expect("runs")
+                .expect("the member has not crashed")
                 .is_alone(),
             "seed {seed}: member 5 does not detect that it is alone"
         );
@@ -203,7 +207,7 @@
             assert_eq!(
                 network.liveness(observer, GatewayId(5)),
                 Some(Liveness::Down),
-                "seed {seed}: seen by {observer}"
+                "seed {seed}: in the view of {observer}"
             );
             for member in (0..5).map(GatewayId) {
                 assert_eq!(
@@ -255,7 +259,7 @@
     assert_eq!(
         network.record.renewals,
         [],
-        "a member took a later generation, though a refutation is enough"
+        "a member changed to a later generation, though a refutation is enough"
     );
 }
 
@@ -282,7 +286,7 @@
             assert_eq!(
                 network.liveness(observer, GatewayId(2)),
                 Some(Liveness::Alive),
-                "seed {seed}: seen by {observer}"
+                "seed {seed}: in the view of {observer}"
             );
         }
     }
@@ -299,7 +303,7 @@
             assert_eq!(
                 network.liveness(observer, GatewayId(4)),
                 Some(Liveness::Down),
-                "seed {seed}: seen by {observer}"
+                "seed {seed}: in the view of {observer}"
             );
         }
     }
@@ -312,7 +316,7 @@
     network.run_until(start + Milliseconds(20_000));
     assert!(network
         .partition_side(GatewayId(99))
-        .expect("runs")
+        .expect("the member has not crashed")
         .has_majority());
     let others: Vec<GatewayId> = (0..99).map(GatewayId).collect();
     network.partition(&[GatewayId(99)], &others);
@@ -320,18 +324,18 @@
     assert!(
         !network
             .partition_side(GatewayId(99))
-            .expect("runs")
+            .expect("the member has not crashed")
             .has_majority(),
         "member 99 still claims a majority after twelve seconds of unanswered pings"
     );
     network.run_until(start + Milliseconds(40_000));
     assert!(network
         .partition_side(GatewayId(99))
-        .expect("runs")
+        .expect("the member has not crashed")
         .is_alone());
     assert!(network
         .partition_side(GatewayId(0))
-        .expect("runs")
+        .expect("the member has not crashed")
         .has_majority());
     network.heal();
     network
@@ -388,7 +392,7 @@
         }
         let at = network
             .settle(Milliseconds(20_000))
-            .expect("the restarted member is seen alive again");
+            .expect("the restarted member is alive in all views again");
         for observer in (0..4).map(GatewayId) {
             let row = network
                 .view(observer)
@@ -416,22 +420,22 @@
     let start = network.settle(Milliseconds(20_000)).expect("settles");
     assert!(network
         .view(GatewayId(0))
-        .expect("runs")
+        .expect("the member has not crashed")
         .accepts_from(GatewayId(2)));
     network.crash(GatewayId(2));
     let bound = Settings::for_fleet(5).detection_bound();
     network.run_until(start + bound);
     let at = first_change(&network, GatewayId(0), GatewayId(2), Liveness::Down, start)
-        .expect("0 saw 2 go down");
+        .expect("member 0 considers the crashed member 2 down");
     assert!(at > start);
     assert!(!network
         .view(GatewayId(0))
-        .expect("runs")
+        .expect("the member has not crashed")
         .accepts_from(GatewayId(2)));
     assert!(
         !network
             .view(GatewayId(0))
-            .expect("runs")
+            .expect("the member has not crashed")
             .accepts_from(GatewayId(99)),
         "reports from a gateway outside the fleet's list are accepted"
     );
--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -7,11 +7,11 @@
 //! refutation once to every other observer. The checks are:
 //!
 //! - With fewer losses than one observer needs for a verdict, no observer ever considers the subject down.
-//! - With more losses a false verdict is possible, which shows that the model can fail. An observer accepts it from
-//!   another only if it missed a round of the subject itself. Once the subject has been notified and all messages have
-//!   arrived, no observer considers the subject down.
+//! - With more losses a false verdict is possible, which shows that the model can fail. An observer accepts the verdict
+//!   of another one only if the subject also left a round of its own unanswered. Once the subject has been notified and
+//!   all messages have arrived, no observer considers the subject down.
 //! - If a report counts as a verdict, as in SWIM as published, or if an update of an older incarnation outranks a later
-//!   one, the checker finds an observer that considers the subject down without having missed a round itself.
+//!   one, the checker finds an observer that considers the subject down although none of its own rounds was missed.
 
 use irisrouter_cluster_types::{GatewayId, GatewayProcess, Timestamp};
 use irisrouter_membership::merge_rules::{
@@ -42,7 +42,8 @@
     rounds_left: u8,
     /// Whether the observer still has to send its row of the subject to the observer with this index.
     unsent: [bool; OBSERVERS],
-    /// Whether the observer declared the subject down after a round that it missed itself.
+    /// Whether the observer declared the subject down because one of its own rounds was missed, and not because of an
+    /// update from another observer.
     down_after_missed_round: bool,
 }
 
