--- a/crates/membership/src/error.rs
+++ b/crates/membership/src/error.rs
@@ -12,7 +12,7 @@
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// This gateway is not in the fleet's list.
-    #[error("number {gateway} lies outside a fleet of {fleet_size}")]
+    #[error("gateway number {gateway} is outside a fleet of {fleet_size} gateways, which are numbered from 0")]
     OutsideFleet {
         /// This gateway.
         gateway: GatewayId,
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -68,10 +68,12 @@
     #[error("must be shorter than probe_period_ms, or probes overlap")]
     TimeoutNotShorterThanPeriod,
     /// The gossip interval is longer than the rejoin interval.
-    #[error("must not be longer than rejoin_ms, to which joins back off")]
+    #[error(
+        "must not be longer than rejoin_ms, because joins back off from gossip_ms to rejoin_ms"
+    )]
     GossipLongerThanRejoin,
     /// The suspicion time is not longer than the longest stall, `max_stall`.
-    #[error("must be longer than stall_ms, or a stall is taken for death")]
+    #[error("must be longer than stall_ms, or a stalled gateway is declared down")]
     SuspicionNotLongerThanStall,
 }
 
--- a/crates/membership/tests/settings.rs
+++ b/crates/membership/tests/settings.rs
@@ -64,11 +64,11 @@
     );
     assert_eq!(
         rejection_text(|s| s.gossip_interval = s.rejoin_interval + Milliseconds(1)),
-        "gossip_ms: must not be longer than rejoin_ms, to which joins back off"
+        "gossip_ms: must not be longer than rejoin_ms, because joins back off from gossip_ms to rejoin_ms"
     );
     assert_eq!(
         rejection_text(|s| s.suspicion = s.max_stall),
-        "suspicion_ms: must be longer than stall_ms, or a stall is taken for death"
+        "suspicion_ms: must be longer than stall_ms, or a stalled gateway is declared down"
     );
 }
 
@@ -77,5 +77,8 @@
     let outside = GatewayProcess::first(GatewayId(5));
     let created = Membership::new(outside, Settings::for_fleet(5), 1, Timestamp::ZERO);
     let error = created.err().map(|error| error.to_string());
-    assert_eq!(error.as_deref(), Some("number 5 lies outside a fleet of 5"));
+    assert_eq!(
+        error.as_deref(),
+        Some("gateway number 5 is outside a fleet of 5 gateways, which are numbered from 0")
+    );
 }
