--- a/crates/membership/examples/measure.rs
+++ b/crates/membership/examples/measure.rs
@@ -139,7 +139,7 @@
 }
 
 fn print_results_by_fleet_size() {
-    println!("| fleet, seeds | settled after at most | datagrams, bytes a gateway a second | crash seen by all: p50, p99, most | bound | cut in halves healed after: p50, most | bound |");
+    println!("| fleet, seeds | settled after: max | datagrams, bytes sent per second and gateway | crash detected by all: p50, p99, max | detection bound | partition into halves healed after: p50, max | heal bound |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (fleet_size, seeds) in [(5u32, 300u64), (7, 300), (50, 60), (300, 12)] {
         let runs = run_seeds(seeds, |seed| run_without_loss(fleet_size, seed));
@@ -205,7 +205,7 @@
 }
 
 fn print_results_under_loss() {
-    println!("| fleet | loss | runs of 60 s with a false verdict in a view | refutations | suspicions a gateway a minute | datagrams a gateway a second: all; ping, ack, ping-req, indirect ack, join, member list, gossip | crash under it seen by all: p50, most |");
+    println!("| fleet | loss | runs of 60 s with a false verdict in a view | refutations | suspicions per minute and gateway | datagrams sent per second and gateway: all; ping, ack, ping-req, indirect ack, join, member list, gossip | crash under loss detected by all: p50, max |");
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for (fleet_size, seeds) in [(7u32, 300u64), (50, 30), (300, 6)] {
         for loss in [0.1, 0.3, 0.4] {
--- a/crates/membership/src/settings.rs
+++ b/crates/membership/src/settings.rs
@@ -29,8 +29,8 @@
     pub ping_timeout: Milliseconds,
     /// Number of members that are asked to ping a member that did not ack.
     pub indirect_pings: usize,
-    /// The longest pause of a process that must not lead to a verdict: the process may become
-    /// suspect, and the suspicion ends when it answers after the pause.
+    /// The longest pause of a process that must not lead to a verdict: the process may become suspect, and the suspicion
+    /// ends when it answers after the pause.
     pub max_stall: Milliseconds,
     /// Time from the suspicion of a member until it is declared down. The defaults are at least
     /// `4 * max(1, log10 fleet_size)` protocol periods, and at least `max_stall` plus three protocol periods;
