--- a/crates/membership/tests/suspicion.rs
+++ b/crates/membership/tests/suspicion.rs
@@ -1,6 +1,6 @@
 //! Model checking of the core's rules of suspicion and refutation ([`irisrouter_membership::merge_rules`]) with
 //! stateright. The model has one live member, the subject, and three observers that ping it and disseminate their rows
-//! of it; all its states are explored.
+//! of it. The checks that expect a rule to hold explore all states; the others stop at a limit on the number of states.
 //!
 //! Messages may arrive in any order. Observers ping the subject in rounds, and a round is either answered or missed. A
 //! bounded number of rounds is missed because the ping or its ack is lost. An observer may send each verdict and each
