--- a/crates/drain-coordination/src/command_log.rs
+++ b/crates/drain-coordination/src/command_log.rs
@@ -26,7 +26,8 @@
 /// Current command for one host, and its progress.
 pub(crate) struct CommandState {
     pub(crate) command: DrainCommand,
-    /// Latest epoch of a coordinator that sent a message, or under which this gateway has coordinated the host's drain.
+    /// Latest known epoch of the lease on the host's drain, from a coordinator's message or from the lease of this
+    /// gateway. [`NO_COORDINATOR`] if none is known.
     pub(crate) latest_epoch: Epoch,
     /// Time at which a coordinator last sent a message, or this gateway last coordinated the command. It starts at the
     /// time at which the command became known, and restarts when the command is announced to the lease candidates.
--- a/crates/drain-coordination/src/coordinator.rs
+++ b/crates/drain-coordination/src/coordinator.rs
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Updates the view of the fleet to these processes: those of the gateways that membership does not report as down.
+    /// Replaces the view of the fleet. `processes` are those of the gateways that membership does not report as down.
     pub fn update_fleet(&mut self, processes: impl IntoIterator<Item = GatewayProcess>) {
         self.fleet.replace(processes);
     }
@@ -140,7 +140,8 @@
         self.flush();
     }
 
-    /// Returns the time by which [`DrainCoordinator::advance`] has to be called next. It may be called earlier.
+    /// Returns the time by which [`DrainCoordinator::advance`] has to be called next, or [`Timestamp::MAX`] if no
+    /// command is known. It may be called earlier.
     #[must_use]
     pub fn next_due(&self, now: Timestamp) -> Timestamp {
         if self.commands.is_empty() {
--- a/crates/drain-coordination/tests/fleet.rs
+++ b/crates/drain-coordination/tests/fleet.rs
@@ -354,7 +354,8 @@
     fleet.issue(0, DesiredState::Drained);
     fleet.grant_lease(1, Epoch(10));
     fleet.run(Milliseconds(1_000));
-    // The gateway with a request in flight crashes. Its request is lost, and its new process has to report so.
+    // The gateway with a request in flight crashes, and its request is lost. Its new process has to report again,
+    // because the reports of the earlier process no longer count.
     fleet.gateways[3].coordinator = None;
     fleet.run(Milliseconds(500));
     let expected = CoordinatorCompletion {
@@ -398,8 +399,9 @@
         fleet.drains(4),
         "the isolated gateway continues to follow the earlier command"
     );
-    // After the partition the gateway announces its earlier command, as every gateway does that receives no message
-    // from a coordinator, and the later command is announced to it in reply.
+    // After the partition the gateway receives the later command: from the coordinator, or in reply to its own
+    // announcement of the earlier command. It sends this announcement if it has received no message from a coordinator
+    // for some time.
     fleet.blocked_links.clear();
     fleet.run(Milliseconds(10_000));
     assert!((0..5).all(|index| {
--- a/crates/leases/src/manager.rs
+++ b/crates/leases/src/manager.rs
@@ -225,7 +225,8 @@
             .unwrap_or(Timestamp::MAX)
     }
 
-    /// Returns the time at which all leases are released because this gateway is in a minority partition, if it is.
+    /// Returns the time at which all leases are released because this gateway is in a minority partition. `None` if no
+    /// such release is pending.
     fn minority_deadline(&self) -> Option<Timestamp> {
         self.minority_entered_at
             .map(|since| since + self.settings.lease_duration)
--- a/crates/leases/src/rendezvous.rs
+++ b/crates/leases/src/rendezvous.rs
@@ -1,6 +1,6 @@
 //! Orders the gateways for a task by rendezvous hashing (Thaler and Ravishankar, 1998). Each gateway has a weight for
-//! each task, which all gateways compute alike. When a gateway leaves, the first gateway changes only for the tasks for
-//! which it was the first.
+//! each task, which all gateways compute alike. When a gateway leaves, only the tasks whose first gateway it was get
+//! another first gateway.
 
 use irisrouter_cluster_types::{GatewayId, TaskId};
 use std::cmp::Reverse;
--- a/crates/leases/src/settings.rs
+++ b/crates/leases/src/settings.rs
@@ -48,7 +48,8 @@
     }
 
     /// Returns the interval between two rounds of requests to the voters, both for claims and for renewals. With 30 %
-    /// of the datagrams lost, each voter grants every second round on average.
+    /// of the datagrams lost, each voter grants every second round on average, because both the request and the grant
+    /// have to arrive.
     #[must_use]
     pub fn request_interval(&self) -> Milliseconds {
         self.lease_duration / 5
@@ -60,8 +61,9 @@
         self.lease_duration / 5
     }
 
-    /// Returns how long before the end of its lease a holder starts to renew it. Together with the margin of a tenth,
-    /// this is three tenths of the lease duration after the request of the latest round that a majority granted.
+    /// Returns how long before the end of its lease a holder starts to renew it. A lease ends nine tenths of the lease
+    /// duration after the latest round of requests that a majority granted, so the renewal starts three tenths of the
+    /// lease duration after that round.
     #[must_use]
     pub fn renewal_lead(&self) -> Milliseconds {
         self.lease_duration * 6 / 10
--- a/crates/leases/src/task_state.rs
+++ b/crates/leases/src/task_state.rs
@@ -96,8 +96,8 @@
         self.next_due = now + settings.candidate_delay() * (1 + self.candidacy.rank as u64);
     }
 
-    /// Records the answer of a voter to a pre-vote, that it would grant a request. Returns whether a claim may start,
-    /// which is the case if a majority of the voters would grant it and no claim is in progress.
+    /// Records that a voter answered a pre-vote with [`Vote::Vacant`](crate::Vote::Vacant). Returns whether a claim may
+    /// start, which is the case if a majority of the voters would grant it and no claim is in progress.
     pub(crate) fn record_vacant(&mut self, voter: usize, round: u16, latest_epoch: Epoch) -> bool {
         let Some(pre_vote) = &mut self.pre_vote else {
             return false;
--- a/crates/leases/tests/golden.rs
+++ b/crates/leases/tests/golden.rs
@@ -73,7 +73,7 @@
 }
 
 /// Returns a message whose holder has the gateway id that encodes the absence of a holder.
-fn with_no_holder_id() -> LeaseMessage {
+fn with_holder_encoded_as_none() -> LeaseMessage {
     LeaseMessage {
         holder: Some(GatewayProcess {
             gateway: GatewayId(u32::MAX),
@@ -240,10 +240,10 @@
 fn holder_with_the_number_that_stands_for_none_is_read_as_none() {
     let decoded = LeaseMessage {
         holder: None,
-        ..with_no_holder_id()
+        ..with_holder_encoded_as_none()
     };
     let expected = "b1 0a0b 01  01 0102030405060708 1112131415161718 2122 ffffffff 3536 414243";
-    assert_encoded_and_decoded_as(&[with_no_holder_id()], expected, &[decoded]);
+    assert_encoded_and_decoded_as(&[with_holder_encoded_as_none()], expected, &[decoded]);
 }
 
 #[test]
--- a/crates/leases/tests/model.rs
+++ b/crates/leases/tests/model.rs
@@ -112,7 +112,9 @@
     fn request_grants(&mut self, claimant: usize) {
         self.rounds_left[claimant] -= 1;
         self.last_requested_at[claimant] = self.now;
-        let epoch = self.claims[claimant].epoch().expect("a claim under way");
+        let epoch = self.claims[claimant]
+            .epoch()
+            .expect("a claim is in progress");
         let round = self.claims[claimant].start_round(self.now);
         for voter in 0..VOTERS {
             self.send(Message::Request {
@@ -218,8 +220,8 @@
             }
         }
         for index in 0..state.messages.len() {
-            // Equal messages lead to the same state, so only the first is a choice. A lost message is one that is never
-            // delivered.
+            // Delivering any of several equal messages leads to the same state, so only the first one is delivered. The
+            // loss of a message needs no step of its own: it is covered by the runs that never deliver the message.
             if index == 0 || state.messages[index] != state.messages[index - 1] {
                 steps.push(Step::Deliver(index));
             }
@@ -303,14 +305,14 @@
         .join();
     let states = checker.state_count();
     let unique_states = checker.unique_state_count();
-    eprintln!("{unique_states} states, {states} with those met again");
+    eprintln!("{unique_states} distinct states, {states} states including repeated ones");
     assert!(
         coverage == Coverage::UntilViolation || states < MAX_STATES,
         "{states} states: not all of them were visited"
     );
     assert!(
         checker.discovery(HELD).is_some(),
-        "nobody ever held the lease: the model proves nothing"
+        "claimant 0 holds the lease in no state, so the model proves nothing"
     );
     Violations {
         two_holders: checker.discovery(ONE_HOLDER).is_some(),
@@ -365,7 +367,7 @@
     };
     assert!(
         violations(model, Coverage::UntilViolation).older_token_accepted,
-        "the model cannot fail: it proves nothing"
+        "no older token accepted without the check, so the model proves nothing"
     );
 }
 
@@ -380,6 +382,6 @@
     };
     assert!(
         violations(model, Coverage::UntilViolation).two_holders,
-        "the model cannot fail: it proves nothing"
+        "never two holders without the waiting time, so the model proves nothing"
     );
 }
--- a/crates/leases/tests/previous_holder.rs
+++ b/crates/leases/tests/previous_holder.rs
@@ -101,7 +101,7 @@
         let position = claimants
             .iter()
             .position(|&claimant| claimant == takeover.holder.gateway);
-        let winner = position.expect("one of the two that claimed");
+        let winner = position.expect("the holder is one of the two claimants");
         let other = GatewayProcess::first(claimants[1 - winner]);
         match takeover.change {
             LeaseChange::TakenOver(previous) if previous == candidates.first => {}
@@ -112,7 +112,9 @@
                 assert!(!held, "seed {seed}: {other:?} did hold the lease");
                 named_other_claimant += 1;
             }
-            change => panic!("seed {seed}: {takeover:?} names neither: {change:?}"),
+            change => panic!(
+                "seed {seed}: {takeover:?} names no process that held or claimed it: {change:?}"
+            ),
         }
     }
     assert!(
--- a/crates/site-failover/src/site_tracker.rs
+++ b/crates/site-failover/src/site_tracker.rs
@@ -54,7 +54,8 @@
     state: SiteState,
     /// Time since which the observations have indicated a change of state; `None` if they do not.
     transition_pending_since: Option<Timestamp>,
-    /// Time by which the recovery ramp has advanced, at most `recovery_ramp_duration`.
+    /// Position on the recovery ramp, as time from its start, at most `recovery_ramp_duration`.
+    /// The time during which the ramp did not advance is not included.
     ramp_progress: Milliseconds,
     observation: SiteObservation,
 }
@@ -85,8 +86,8 @@
         self.observation.load_per_s
     }
 
-    /// Adopts the state from a plan of another planner. A recovery ramp starts over: a plan
-    /// does not carry the time by which the ramp has advanced, and too little load for a recovering
+    /// Adopts the state from a plan of another planner. A recovery ramp starts over, because a plan
+    /// does not carry the time from the start of the ramp, and too little load for a recovering
     /// site is safer than too much.
     pub fn resume(&mut self, state: SiteState) {
         self.state = state;
--- a/crates/site-failover/tests/golden.rs
+++ b/crates/site-failover/tests/golden.rs
@@ -1,8 +1,8 @@
-//! Golden tests of the datagrams that carry failover plans, and load reports, from which plans are
-//! made.
+//! Golden tests of the datagrams that carry failover plans, and of those that carry the load reports
+//! from which plans are made.
 //!
 //! The tests pin the exact bytes of plans and load reports, the rounding and clamping of numbers,
-//! the results of decoding these bytes and malformed ones, and the task id of the planning. A fleet
+//! the results of decoding these bytes and malformed ones, and the task id of the planner. A fleet
 //! is upgraded one gateway at a time, so gateways of the old and the new version exchange these
 //! datagrams, and have to agree on the planner: after a change of a single byte or of the task id
 //! they would follow different plans and send a site more load than its capacity. A refactoring
--- a/crates/site-failover/tests/planner.rs
+++ b/crates/site-failover/tests/planner.rs
@@ -115,8 +115,8 @@
         &[failing, healthy[1], healthy[2]],
     );
     assert!((budget(&mut planner) - halfway).abs() < 1.0);
-    // The site is not lost while half of its hosts are silent, but once all of them have been
-    // silent for a second.
+    // The site does not become lost if half of its hosts are silent. It becomes lost if all of them
+    // are silent for a second.
     let half_silent = SiteObservation {
         silent_hosts: 5,
         ..healthy[0]
--- a/crates/write-intents/src/operation.rs
+++ b/crates/write-intents/src/operation.rs
@@ -159,8 +159,8 @@
             Purpose::Record { .. } => self.record_outcome(),
             Purpose::LookUp => self.look_up_outcome(elapsed),
         };
-        // If the only other gateway is dead or does not answer, a record can't be confirmed and a look-up is
-        // inconclusive.
+        // After the timeout the operation fails. This holds even if there is only one other gateway and it is dead,
+        // because without its answer nothing proves that the write was recorded, or that it was never sent.
         let timed_out = elapsed >= OPERATION_TIMEOUT;
         decided.or(timed_out.then_some(self.purpose.failure_outcome()))
     }
--- a/crates/write-intents/tests/fleet.rs
+++ b/crates/write-intents/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Tests of record operations and look-ups on a simulated network: even if one gateway is dead and datagrams are lost,
-//! a look-up never concludes that a write was never sent if it was recorded.
+//! Tests of record operations and look-ups on a simulated network: a look-up does not report a recorded write as never
+//! sent, even if one gateway is dead, be it the writer or a replica, and datagrams are lost.
 
 mod simulation;
 
