--- a/crates/write-intents/tests/golden.rs
+++ b/crates/write-intents/tests/golden.rs
@@ -114,7 +114,7 @@
 
 #[track_caller]
 fn assert_rejected(bytes: &[u8], expected: WireError, text: &str) {
-    let error = decode(bytes).expect_err("it is refused");
+    let error = decode(bytes).expect_err("the datagram is rejected");
     assert_eq!(
         (error, error.to_string().as_str()),
         (expected, text),
