--- a/crates/pg/src/backend.rs
+++ b/crates/pg/src/backend.rs
@@ -1,11 +1,12 @@
-//! Messages from server to client, as the gateway writes them.
+//! Encoding of the messages from server to client that the gateway sends.
 
 use crate::frontend::CancelKey;
 use crate::message::{put, put_string};
 use crate::tag;
 use bytes::{BufMut, BytesMut};
 
-/// The parameters that a client is sent when its session starts. Drivers derive from them how to encode values.
+/// Parameters that the gateway sends to a client at the start of a session. Drivers choose the encoding of values by
+/// them.
 const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
@@ -15,7 +16,8 @@
     ("standard_conforming_strings", "on"),
 ];
 
-/// Appends the answer to a client's startup message, from `AuthenticationOk` to `ReadyForQuery`.
+/// Appends the response to a client's startup message, from `AuthenticationOk` to `ReadyForQuery`. `BackendKeyData` is
+/// left out if `key` is `None`.
 pub fn put_startup_response(out: &mut BytesMut, key: Option<&CancelKey>) {
     put(out, tag::AUTHENTICATION, |body| body.put_u32(0));
     for (name, value) in SESSION_PARAMETERS {
@@ -30,7 +32,7 @@
     put_ready(out);
 }
 
-/// Appends `ReadyForQuery`, outside a transaction.
+/// Appends `ReadyForQuery` with the status "idle" (not in a transaction).
 pub fn put_ready(out: &mut BytesMut) {
     put(out, tag::READY_FOR_QUERY, |body| body.put_u8(b'I'));
 }
@@ -43,7 +45,7 @@
     message: &str,
     detail: Option<&str>,
 ) {
-    // Severity stands twice: localised (S), which it never is here, and not localised (V).
+    // The protocol has two severity fields: S may be localised, and V is not. The gateway sends the same text in both.
     let fields = [
         (b'S', severity),
         (b'V', severity),
--- a/crates/pg/src/frame.rs
+++ b/crates/pg/src/frame.rs
@@ -1,22 +1,23 @@
-//! Framing: where a message begins and ends in the bytes read so far.
+//! Framing: finds the bounds of the messages in the bytes that were received so far.
 
 use crate::error::{Malformed, TOO_LARGE};
 use crate::tag;
 use std::ops::Range;
 
-/// Largest message that is accepted as a whole, in bytes: enough for a value of 64 KiB in hexadecimal with its statement.
+/// Maximum length of a message that is buffered until it is complete, in bytes. It is enough for a statement with a
+/// value of 64 KiB in hexadecimal.
 pub const MAX_MESSAGE_SIZE: usize = 256 * 1024;
-/// Size of a message's length field, which counts itself.
+/// Size of a message's length field, in bytes. The length that the field contains includes this size.
 const LENGTH_SIZE: usize = 4;
-/// Size of the type byte and the length field.
+/// Size of the type byte and the length field, in bytes.
 pub const HEADER_SIZE: usize = 1 + LENGTH_SIZE;
 
-/// A message: its type, and the place of its body in the bytes read so far.
+/// A complete message: its type, and the range of its body in the received bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Frame {
     /// The type byte; see [`tag`](crate::tag).
     pub tag: u8,
-    /// The place of the body.
+    /// Range of the body in the received bytes.
     pub body: Range<usize>,
 }
 
@@ -24,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// The message is shorter than its own length field, or longer than [`MAX_MESSAGE_SIZE`].
+/// Returns an error if the length field is smaller than its own size, or larger than [`MAX_MESSAGE_SIZE`].
 pub fn frame(bytes: &[u8]) -> Result<Option<Frame>, Malformed> {
     let (Some(&tag), Some(length)) = (bytes.first(), length_field(bytes)) else {
         return Ok(None);
@@ -42,19 +43,21 @@
     }))
 }
 
-/// Returns the size of the first message in bytes, its type byte included, or `None` while its length is incomplete. The
-/// length is taken as it stands: [`frame`] checks it.
+/// Returns the size of the first message in bytes, including its type byte, or `None` while the length field is
+/// incomplete. The length is not validated here; [`frame`] does that.
 pub fn message_size(bytes: &[u8]) -> Option<usize> {
     length_field(bytes).map(|length| 1 + length)
 }
 
-/// The length field of the first message, or `None` while it is incomplete. It counts itself, but not the type byte.
+/// Returns the length field of the first message, or `None` while the field is incomplete. The length includes the
+/// field itself, but not the type byte.
 pub(crate) fn length_field(bytes: &[u8]) -> Option<usize> {
     let length = bytes.get(1..)?.first_chunk()?;
     Some(u32::from_be_bytes(*length) as usize)
 }
 
-/// The whole messages at the beginning of these bytes, up to the first one that is malformed or incomplete.
+/// Iterates over the complete messages at the start of these bytes, up to the first one that is malformed or
+/// incomplete. The range of a body is relative to the start of its own message.
 fn whole_messages(bytes: &[u8]) -> impl Iterator<Item = Frame> + '_ {
     let mut rest = bytes;
     std::iter::from_fn(move || {
@@ -64,7 +67,7 @@
     })
 }
 
-/// The bodies of the queries among the whole messages at the beginning of these bytes.
+/// Iterates over the bodies of the `Query` messages among the complete messages at the start of these bytes.
 pub fn whole_queries(bytes: &[u8]) -> impl Iterator<Item = &[u8]> + '_ {
     let mut begin = 0;
     whole_messages(bytes).filter_map(move |frame| {
@@ -74,7 +77,7 @@
     })
 }
 
-/// The size of the whole messages at the beginning of these bytes, all together.
+/// Returns the total size of the complete messages at the start of these bytes.
 pub fn whole_messages_size(bytes: &[u8]) -> usize {
     whole_messages(bytes).map(|frame| frame.body.end).sum()
 }
--- a/crates/pg/src/frontend.rs
+++ b/crates/pg/src/frontend.rs
@@ -5,9 +5,9 @@
 use crate::tag;
 use bytes::{BufMut, BytesMut};
 
-/// Largest message before the session has started, in bytes.
+/// Maximum length of a client's first message, in bytes.
 const MAX_STARTUP_LENGTH: usize = 10_000;
-/// Size of the length and the code of a message before the session has started.
+/// Size of the length and code fields of a client's first message, in bytes.
 const STARTUP_HEADER_SIZE: usize = 8;
 /// Major version of the protocol.
 const VERSION_3: u32 = 3;
@@ -23,30 +23,31 @@
 pub enum Startup {
     /// The client asks for an encrypted connection, which the gateway does not support.
     Encryption,
-    /// The client asks to cancel the query of the connection that was given this key.
+    /// The client asks to cancel the query that runs on the connection with this key.
     Cancel(CancelKey),
     /// The client starts a session.
     Begin,
 }
 
-/// The key that a client is given when its session starts, and sends on a new connection to cancel its query: both
-/// numbers of `BackendKeyData`, neither of which is a process id here.
+/// The key that a client receives when its session starts, and sends on a new connection to cancel its query. It
+/// consists of the two numbers of `BackendKeyData`, neither of which is a process id here.
 pub type CancelKey = [u8; 8];
 
 /// The first message of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StartupMessage {
-    /// What the client asks for.
+    /// The purpose of the message.
     pub purpose: Startup,
     /// The length of the message in bytes.
     pub length: usize,
 }
 
-/// Reads the first message of a client, which has no type byte, or `None` while it is incomplete.
+/// Parses the first message of a client, which has no type byte. Returns `None` while the message is incomplete.
 ///
 /// # Errors
 ///
-/// The length is out of bounds, a cancel request has no key, or the version of the protocol is unknown.
+/// Returns an error if the length is out of bounds, a cancel request does not contain a key of 8 bytes, or the protocol
+/// version is unknown.
 pub fn startup(bytes: &[u8]) -> Result<Option<StartupMessage>, Malformed> {
     let Some(length) = bytes.first_chunk() else {
         return Ok(None);
@@ -72,7 +73,7 @@
     Ok(Some(StartupMessage { purpose, length }))
 }
 
-/// Appends a startup message.
+/// Appends a startup message that begins a session.
 pub fn put_startup(out: &mut BytesMut, user: &str, database: &str) {
     put_with_length(out, |body| {
         body.put_u32(VERSION_3 << 16);
@@ -89,11 +90,11 @@
     put(out, tag::QUERY, |body| put_string(body, statement));
 }
 
-/// The text in the body of a simple query.
+/// Returns the text in the body of a simple query.
 ///
 /// # Errors
 ///
-/// The body does not end with its only zero byte.
+/// Returns an error unless the body ends with a zero byte and contains no other.
 pub fn query(body: &[u8]) -> Result<&[u8], Malformed> {
     match body.split_last() {
         Some((0, text)) if !text.contains(&0) => Ok(text),
@@ -101,7 +102,7 @@
     }
 }
 
-/// Whether a query contains no statement.
+/// Returns whether the text of a query contains no statement, only white space and semicolons.
 pub fn is_empty(text: &[u8]) -> bool {
     text.iter()
         .all(|&byte| byte.is_ascii_whitespace() || byte == b';')
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,7 +1,7 @@
-//! PostgreSQL's wire protocol, version 3: framing, the messages that the gateway reads and writes, and the comment in
-//! which a statement carries what the gateway needs to route it.
+//! PostgreSQL's wire protocol, version 3: framing, the messages that the gateway reads and writes, and the comment at
+//! the end of a statement that tells the gateway how to route it.
 //!
-//! The package does no I/O. Every length is bounded, and nothing that comes from outside is trusted.
+//! The package does no I/O. Every length is bounded, and all input is validated.
 
 mod backend;
 pub mod code;
--- a/crates/pg/src/reply.rs
+++ b/crates/pg/src/reply.rs
@@ -1,10 +1,10 @@
-//! A database host's reply to one query, read message by message.
+//! The parser for a database host's reply to one query, which reads it message by message.
 
 use crate::error::Malformed;
 use crate::row::{check_one_column_description, one_column_value};
 use crate::tag;
 
-/// Longest value that may be a load report, in bytes.
+/// Maximum length of a value that is kept because it may be a load report, in bytes.
 const MAX_REPORT_LENGTH: usize = 256;
 
 /// The role that a database host reports in `ParameterStatus`.
@@ -19,31 +19,31 @@
 /// A database host's reply to one query, as far as it has arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// The last message of the row that has arrived.
+    /// The last message of the row that was received.
     pub stage: Stage,
-    /// The SQLSTATE of `ErrorResponse`, if that has arrived.
+    /// SQLSTATE of the `ErrorResponse`; `None` if no error was received.
     pub error: Option<String>,
-    /// `ReadyForQuery` has arrived.
+    /// Whether `ReadyForQuery` was received.
     pub ready: bool,
-    /// The host's role, if it was reported.
+    /// Role that the host reported; `None` if it reported no role.
     pub role: Option<HostRole>,
-    /// The host's replication position in Unix milliseconds, if it was reported.
+    /// Replication position that the host reported, in Unix milliseconds; `None` if it reported no valid position.
     pub position_ms: Option<i64>,
-    /// The value of the row, where it is short enough to be a load report.
+    /// Value of the row; `None` before it was received, and if it is too long for a load report or not UTF-8.
     pub value: Option<String>,
 }
 
-/// The messages that make up a row: one of each, in this order.
+/// Progress of a reply. A reply with a row consists of one message for each of the later stages, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
-    /// None of them has arrived.
+    /// No message of the row was received.
     #[default]
     Begun,
-    /// `RowDescription`, of one column.
+    /// `RowDescription` was received, with one column.
     Described,
-    /// `DataRow`, of one value.
+    /// `DataRow` was received, with one value.
     Row,
-    /// `CommandComplete`.
+    /// `CommandComplete` was received.
     Complete,
 }
 
@@ -52,8 +52,8 @@
     ///
     /// # Errors
     ///
-    /// The message is malformed or out of order. What is out of order may belong to another reply, and its row to another
-    /// request.
+    /// Returns an error if the message is malformed or out of order. A message out of order must not be forwarded,
+    /// because it may belong to the reply to another request.
     pub fn read_message(&mut self, tag: u8, body: &[u8]) -> Result<bool, Malformed> {
         let next_stage = match (tag, self.stage, &self.error) {
             (tag::ROW_DESCRIPTION, Stage::Begun, None) => {
@@ -81,7 +81,7 @@
                 return Ok(false);
             }
             (tag::NOTICE_RESPONSE | tag::NOTIFICATION_RESPONSE, ..) => return Ok(false),
-            // These come when a session starts.
+            // The host sends these messages at the start of a session.
             (tag::BACKEND_KEY_DATA | tag::AUTHENTICATION, Stage::Begun, None) => return Ok(false),
             _ => return Err(Malformed("a message that does not belong in an answer")),
         };
@@ -89,11 +89,12 @@
         Ok(true)
     }
 
-    /// Records a row whose value was forwarded while it arrived, and so was not read here.
+    /// Records a `DataRow` that was forwarded to the client while it arrived, and is not passed to
+    /// [`Reply::read_message`].
     ///
     /// # Errors
     ///
-    /// No row is due.
+    /// Returns an error unless a `RowDescription` was the last message of the row and there was no `ErrorResponse`.
     pub fn record_forwarded_row(&mut self) -> Result<(), Malformed> {
         if self.stage != Stage::Described || self.error.is_some() {
             return Err(Malformed("a row that nothing describes"));
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    /// Whether a whole row has arrived, and no error.
+    /// Returns whether a complete row was received, and no error.
     pub fn served(&self) -> bool {
         self.stage == Stage::Complete && self.error.is_none()
     }
@@ -134,18 +135,18 @@
     }
 }
 
-/// Whether a body is one string with the zero byte that ends it.
+/// Returns whether a body is a single string with its terminating zero byte.
 fn is_one_string(body: &[u8]) -> bool {
     body.split_last()
         .is_some_and(|(end, text)| *end == 0 && !text.contains(&0))
 }
 
-/// Whether a body is one of the transaction states: idle, in a transaction, in a failed transaction.
+/// Returns whether a body is a transaction status: idle, in a transaction, or in a failed transaction.
 fn is_transaction_status(body: &[u8]) -> bool {
     matches!(body, [b'I' | b'T' | b'E'])
 }
 
-/// The SQLSTATE in the body of an `ErrorResponse`.
+/// Returns the SQLSTATE in the body of an `ErrorResponse`.
 fn error_code(body: &[u8]) -> Result<String, Malformed> {
     let code = body
         .split(|&byte| byte == 0)
--- a/crates/pg/src/row.rs
+++ b/crates/pg/src/row.rs
@@ -4,24 +4,27 @@
 use crate::frame::{length_field, HEADER_SIZE};
 use crate::tag;
 
-/// Largest value that is buffered as a whole, in bytes. Longer values are forwarded while they arrive.
+/// Maximum size of a value that is buffered until it is complete, in bytes. Longer values are forwarded while they
+/// arrive.
 pub const MAX_BUFFERED_VALUE_SIZE: usize = 64 * 1024;
-/// Largest message that is forwarded while it arrives, in bytes.
+/// Maximum length of a message that is forwarded while it arrives, in bytes.
 const MAX_FORWARDED_LENGTH: usize = 64 << 20;
-/// Size of what precedes the value in a row of one column: type, length, number of columns, length of the value.
+/// Size of the fields before the value in a row of one column, in bytes: type, length, number of columns, value length.
 const ROW_HEADER_SIZE: usize = HEADER_SIZE + 2 + 4;
-/// Size of a column's description behind its name in `RowDescription`.
+/// Size of the fields that follow a column's name in `RowDescription`, in bytes.
 const COLUMN_ATTRIBUTES_SIZE: usize = 18;
-/// The number of columns of each row.
+/// The field for the number of columns, which is 1 in every row.
 const ONE_COLUMN: [u8; 2] = 1u16.to_be_bytes();
 
-/// If these bytes begin with a row whose value is longer than [`MAX_BUFFERED_VALUE_SIZE`], returns the size of the whole message in bytes.
-/// Returns `None` for anything else, and while too few bytes have arrived to know; see [`may_begin_long_row`].
+/// Returns the size of the first message in bytes if it is a row whose value is longer than
+/// [`MAX_BUFFERED_VALUE_SIZE`]. Returns `None` for any other message, and while too few bytes have arrived to decide;
+/// see [`may_begin_long_row`].
 ///
 /// # Errors
 ///
-/// The row is too large, has other than one column, or the lengths of message and value disagree. The lengths have to
-/// agree because the first bytes cannot be taken back once they have been forwarded.
+/// Returns an error if the row is too large, does not have exactly one column, or if the lengths of message and value
+/// do not match. A mismatch must be detected here, because the first bytes cannot be taken back once they have been
+/// forwarded.
 pub fn long_row(bytes: &[u8]) -> Result<Option<usize>, Malformed> {
     let (Some(&tag::DATA_ROW), Some(length)) = (bytes.first(), length_field(bytes)) else {
         return Ok(None);
@@ -43,13 +46,14 @@
     Ok(Some(length + 1))
 }
 
-/// Whether these bytes begin with a row that may be long, and more of it has to arrive to know.
+/// Returns whether these bytes begin with a row that may be long, and too few of them have arrived for [`long_row`] to
+/// decide.
 pub fn may_begin_long_row(bytes: &[u8]) -> bool {
     let may_be_long = length_field(bytes).is_some_and(|length| length > MAX_BUFFERED_VALUE_SIZE);
     bytes.first() == Some(&tag::DATA_ROW) && bytes.len() < ROW_HEADER_SIZE && may_be_long
 }
 
-/// Checks the body of a `RowDescription`: one column, which is its name and 18 bytes of attributes.
+/// Checks that the body of a `RowDescription` describes one column: its name and 18 bytes of attributes.
 pub(crate) fn check_one_column_description(body: &[u8]) -> Result<(), Malformed> {
     let description = body.strip_prefix(&ONE_COLUMN);
     let is_whole = description.is_some_and(|description| {
@@ -61,7 +65,7 @@
     ))
 }
 
-/// The value in the body of a `DataRow` with one column that is not null.
+/// Returns the value in the body of a `DataRow`. The row must have one column, which is not null.
 pub(crate) fn one_column_value(body: &[u8]) -> Result<&[u8], Malformed> {
     let (columns, rest) = body.split_first_chunk().ok_or(NOT_ONE_VALUE)?;
     let (length, value) = rest.split_first_chunk().ok_or(NOT_ONE_VALUE)?;
--- a/crates/pg/src/statement.rs
+++ b/crates/pg/src/statement.rs
@@ -1,35 +1,36 @@
-//! Statements: the comment at their end, which tells the gateway how to route them.
+//! The parser for statements and the comment at their end, which tells the gateway how to route them.
 
 use crate::error::Malformed;
 use std::ops::Range;
 
-/// Longest time that a client may claim to wait, in milliseconds: a day.
+/// Maximum time that a client may state as its timeout, in milliseconds: one day.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 
-/// What a statement says about itself: the comment at its end, and the key that it quotes first.
+/// The fields of the comment at the end of a statement, and the first quoted string of the statement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Statement<'a> {
-    /// The request's id.
+    /// Id of the request.
     pub id: &'a str,
-    /// The name of its class.
+    /// Name of the request's class.
     pub class: &'a str,
-    /// The place in the statement of the number of milliseconds that the client waits.
+    /// Range in the statement of the text of the client's timeout (see `timeout_ms`).
     pub timeout_range: Range<usize>,
-    /// How long the client waits, in milliseconds.
+    /// Time for which the client waits for the response, in milliseconds.
     pub timeout_ms: f64,
-    /// The group of hosts.
+    /// Group of hosts that the request is for.
     pub group: i64,
-    /// The idempotency key.
+    /// Idempotency key; `None` if there is none or it is empty.
     pub idempotency: Option<&'a str>,
     /// Whether the client marks the request as a retry.
     pub retry: bool,
-    /// The replication position that a read has to see, in Unix milliseconds.
+    /// Minimum replication position that the read must observe, in Unix milliseconds; `None` if there is none or it is
+    /// not positive.
     pub after_ms: Option<f64>,
-    /// The key that the statement quotes first: it names the session, in classes that have sessions.
+    /// First quoted string of the statement. It identifies the session, in classes that have sessions.
     pub session_key: Option<&'a [u8]>,
 }
 
-/// The fields of a comment that the gateway knows, as text.
+/// The fields of a comment that the gateway recognises, as text.
 #[derive(Default)]
 struct CommentFields<'a> {
     id: Option<&'a str>,
@@ -59,7 +60,7 @@
         Ok(fields)
     }
 
-    /// The field with this name; `None` for names that mean nothing to the gateway.
+    /// Returns the field with this name; `None` for names that the gateway ignores.
     fn field_mut(&mut self, name: &str) -> Option<&mut Option<&'a str>> {
         match name {
             "id" => Some(&mut self.id),
@@ -74,11 +75,11 @@
     }
 }
 
-/// Reads a statement with the comment at its end.
+/// Parses a statement with the comment at its end.
 ///
 /// # Errors
 ///
-/// There is no comment, a field that is required is missing, or a field is repeated or invalid.
+/// Returns an error if there is no comment, a required field is missing, or a field is repeated or invalid.
 pub fn statement(text: &[u8]) -> Result<Statement<'_>, Malformed> {
     let (before_comment, comment) = split_comment(text)?;
     let fields = CommentFields::parse(comment)?;
@@ -112,7 +113,7 @@
     })
 }
 
-/// The text before the comment at the end of a statement, and the inside of the comment.
+/// Splits a statement into the text before the comment at its end, and the content of the comment.
 fn split_comment(text: &[u8]) -> Result<(&[u8], &str), Malformed> {
     let trimmed = text.trim_ascii_end();
     let statement = trimmed
@@ -135,13 +136,13 @@
     text.parse().ok().filter(|number: &f64| number.is_finite())
 }
 
-/// The place of a part within the whole that it was sliced from.
+/// Returns the range of a part within the bytes that it is a slice of.
 fn place_within(whole: &[u8], part: &str) -> Range<usize> {
     let start = part.as_ptr() as usize - whole.as_ptr() as usize;
     start..start + part.len()
 }
 
-/// The first quoted text of a statement. A doubled quote within it is kept as it is.
+/// Returns the content of the first quoted string of a statement. A doubled quote within it is not unescaped.
 fn first_quoted(text: &[u8]) -> Option<&[u8]> {
     let start = text.iter().position(|&byte| byte == b'\'')? + 1;
     let mut end = start;
--- a/crates/pg/src/tag.rs
+++ b/crates/pg/src/tag.rs
@@ -1,4 +1,4 @@
-//! Type bytes of messages. A letter may have another meaning in the other direction.
+//! Type bytes of messages. The same byte may denote different messages from the server and from the client.
 
 /// `AuthenticationOk` and other authentication messages, from the server.
 pub const AUTHENTICATION: u8 = b'R';
@@ -27,7 +27,7 @@
 pub const QUERY: u8 = b'Q';
 /// `Terminate`, from the client.
 pub const TERMINATE: u8 = b'X';
-/// `Sync`, from the client; ends a series of messages of the extended query protocol, as those that follow here.
+/// `Sync`, from the client. It ends a series of messages of the extended query protocol, such as the ones below.
 pub const SYNC: u8 = b'S';
 /// `Parse`, from the client.
 pub const PARSE: u8 = b'P';
--- a/crates/pg/tests/framing.rs
+++ b/crates/pg/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Framing: whole and incomplete messages, and their bounds.
+//! Framing: complete and incomplete messages, and their maximum sizes.
 
 use bytes::BytesMut;
 use irisrouter_pg::{
@@ -28,7 +28,7 @@
     assert!(startup(&[0, 0, 0x27, 0x11]).is_err());
 }
 
-/// Guards against a corrupt length: bytes that have been forwarded cannot be taken back.
+/// Guards against forwarding a row with a corrupt length, because forwarded bytes cannot be taken back.
 #[test]
 fn row_is_long_only_when_both_of_its_lengths_agree() {
     let row = |length: usize, columns: u16, value: usize| {
--- a/crates/pg/tests/random_bytes.rs
+++ b/crates/pg/tests/random_bytes.rs
@@ -1,4 +1,4 @@
-//! Parsers with random bytes.
+//! No parser panics on random bytes.
 
 use irisrouter_pg::{frame, long_row, query, startup, statement, Reply};
 use proptest::prelude::{any, prop_assert, proptest};
--- a/crates/pg/tests/reply.rs
+++ b/crates/pg/tests/reply.rs
@@ -1,4 +1,4 @@
-//! A host's reply, message by message.
+//! The parser for a host's reply: the order of messages, and when a reply counts as served.
 
 use irisrouter_pg::{HostRole, Reply};
 
--- a/crates/pg/tests/statement.rs
+++ b/crates/pg/tests/statement.rs
@@ -1,4 +1,4 @@
-//! Statements and the comment at their end.
+//! The parser for statements and the comment at their end.
 
 use irisrouter_pg::statement;
 
--- a/crates/pg/tests/written_messages.rs
+++ b/crates/pg/tests/written_messages.rs
@@ -1,4 +1,4 @@
-//! Messages as bytes, as they are written.
+//! The exact bytes of the messages that the gateway writes.
 
 use bytes::BytesMut;
 use irisrouter_pg::{code, put_error, put_query, put_ready, put_startup, put_startup_response};
