--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -1,4 +1,4 @@
-//! Why settings could not be loaded.
+//! Errors that occur while settings are loaded.
 
 use crate::template::MAX_FILE_SIZE;
 use crate::Problem;
@@ -6,7 +6,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why settings could not be loaded. None of them apply then.
+/// Reason for which settings could not be loaded. None of the settings take effect then.
 #[derive(Debug, Error)]
 pub enum Error {
     /// The file cannot be read.
@@ -14,7 +14,7 @@
     Unreadable {
         /// The settings file.
         file: PathBuf,
-        /// Why it cannot be read.
+        /// The reason.
         source: ReadError,
     },
     /// The file is not valid Jsonnet, or its evaluation fails.
@@ -38,32 +38,33 @@
     Invalid {
         /// The settings file.
         file: PathBuf,
-        /// What is wrong, limited to the first 20 problems.
+        /// The problems that were found, at most 20.
         problems: Vec<Problem>,
     },
 }
 
-/// Why a settings file cannot be read.
+/// Reason for which a settings file cannot be read.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// The system does not find it, or does not let it be read.
+    /// The operating system reports that the file does not exist or cannot be read.
     #[error(transparent)]
     System(#[from] io::Error),
-    /// It is a directory or a device, or larger than what is read.
+    /// The path is not a regular file, or the file is larger than the maximum size.
     #[error("no file of {MAX_FILE_SIZE} bytes at most")]
     NoFileOfAllowedSize,
-    /// The thread that would evaluate it cannot be started.
+    /// The thread that evaluates the template cannot be started.
     #[error("no thread to evaluate it: {0}")]
     Thread(#[source] io::Error),
 }
 
-/// Why a template yields no settings.
+/// Reason for which a template does not evaluate to settings.
 #[derive(Debug, Error)]
 pub enum TemplateError {
-    /// The evaluator refuses it. Its own error stays on the evaluation's thread, so this carries the text.
+    /// The evaluator reports an error. The error is kept as text, because the evaluator's error type cannot be sent to
+    /// another thread.
     #[error("{}", .trace.trim_end())]
     Evaluation {
-        /// What the evaluator says, with line, column and stack trace.
+        /// The evaluator's message, with line, column and stack trace.
         trace: String,
     },
     /// The evaluator's result is not JSON.
@@ -74,7 +75,7 @@
     Panicked,
 }
 
-/// The names separated by commas, or the word "none".
+/// Returns the names separated by commas, or the word "none" if there are none.
 fn list_or_none(names: &[String]) -> String {
     if names.is_empty() {
         "none".to_string()
@@ -83,7 +84,7 @@
     }
 }
 
-/// Each problem on a line of its own, behind a line break.
+/// Returns each problem on a line of its own, indented and preceded by a line break.
 fn indented_lines(problems: &[Problem]) -> String {
     problems
         .iter()
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -2,17 +2,17 @@
 
 use std::fmt;
 
-/// Something that is wrong at one place of the settings.
+/// A violation of the schema or of a check, at one place in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
-    /// The place as a JSON pointer; empty for the settings as a whole.
+    /// JSON pointer to the place; empty for the settings as a whole.
     pub path: String,
     /// What was found and what was expected.
     pub reason: String,
 }
 
 impl Problem {
-    /// A problem at a place.
+    /// Creates a problem at the place that a JSON pointer names.
     pub fn new(path: impl Into<String>, reason: impl Into<String>) -> Self {
         Problem {
             path: path.into(),
@@ -32,8 +32,8 @@
     }
 }
 
-/// Checks that a schema cannot express: sums, names that must exist, the order of durations.
+/// Settings with checks that a schema cannot express, such as sums, references to names, and the order of durations.
 pub trait Checked {
-    /// Returns all problems; none if the settings are valid.
+    /// Returns all problems; the list is empty if the settings are valid.
     fn check(&self) -> Vec<Problem>;
 }
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -8,21 +8,20 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Largest template that is read, in bytes. Without a bound, a path that names a device or a memory dump would fill the
+/// Maximum size of a template, in bytes. Without a bound, a path to a device or a memory dump would exhaust the
 /// memory.
 pub(crate) const MAX_FILE_SIZE: u64 = 4 << 20;
-/// Deepest nesting of calls in a template. Without a bound, a template that calls itself would overflow the stack and end
-/// the process instead of the evaluation.
+/// Maximum depth of nested calls in a template. Without a bound, infinite recursion in a template would overflow the
+/// stack and abort the process instead of the evaluation.
 const MAX_CALL_DEPTH: usize = 180;
-/// Stack size of the thread that evaluates, in bytes: enough for [`MAX_CALL_DEPTH`], also in a build without
-/// optimisation.
+/// Stack size of the evaluation thread, in bytes: enough for [`MAX_CALL_DEPTH`], also in a build without optimisation.
 const STACK_SIZE: usize = 256 << 20;
 
-/// The names of a template's parameters; none if the template is a plain value.
+/// Returns the names of a template's parameters; the list is empty if the template is a plain value.
 ///
 /// # Errors
 ///
-/// [`Error::Unreadable`] or [`Error::Template`].
+/// Returns [`Error::Unreadable`] or [`Error::Template`].
 pub fn parameters(file: &Path) -> Result<Vec<String>, Error> {
     on_evaluation_thread(file, |file| {
         let template = Template::evaluate(file)?;
@@ -34,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// Any [`Error`]; none of the settings apply then.
+/// Returns any [`Error`]; none of the settings take effect then.
 pub fn load<T: JsonSchema + DeserializeOwned + Checked>(
     file: &Path,
     variables: &Variables,
@@ -46,7 +45,7 @@
     read(file, &json)
 }
 
-/// Checks the file's size, and runs an evaluation on a thread with a stack of [`STACK_SIZE`].
+/// Checks the type and the size of the file, and runs an evaluation on a thread with a stack of [`STACK_SIZE`].
 fn on_evaluation_thread<T: Send + 'static>(
     file: &Path,
     evaluation: impl FnOnce(&Path) -> Result<T, Error> + Send + 'static,
@@ -69,7 +68,7 @@
         .unwrap_or_else(|_| Err(template_error(file, TemplateError::Panicked)))
 }
 
-/// A template whose file has been evaluated: a value, or a function of the template's parameters.
+/// A template whose file has been evaluated. The result is a plain value, or a function of the template's parameters.
 struct Template<'a> {
     file: &'a Path,
     state: EvaluationState,
@@ -104,7 +103,7 @@
             .collect()
     }
 
-    /// Applies the template to its variables and returns the result as JSON.
+    /// Calls the template with the variables as arguments, and returns the result as JSON.
     fn apply(self, variables: &Variables) -> Result<Value, Error> {
         let file = self.file;
         self.set_variables(variables)?;
@@ -116,7 +115,7 @@
             .map_err(|error| template_error(file, TemplateError::NoJson(error)))
     }
 
-    /// Passes the variables to the template as arguments. A value that is JSON is passed as that, and any other as a
+    /// Sets the variables as the template's arguments. A value that is valid JSON is passed as JSON, any other as a
     /// string.
     fn set_variables(&self, variables: &Variables) -> Result<(), Error> {
         let declared = self.declared_parameters();
@@ -140,7 +139,8 @@
     }
 }
 
-/// The error of the evaluator as text: its own type holds references that cannot leave the evaluation's thread.
+/// Converts an error of the evaluator into text, because its type holds references that cannot be sent to another
+/// thread.
 fn evaluation_error(file: &Path, state: &EvaluationState, error: &LocError) -> Error {
     let trace = state.stringify_err(error);
     template_error(file, TemplateError::Evaluation { trace })
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -1,4 +1,4 @@
-//! The schema of a type of settings, and the checks that a value has to pass.
+//! The JSON Schema of a settings type, and the validation of a value against it.
 
 use crate::{Checked, Error, Problem};
 use schemars::{generate::SchemaSettings, JsonSchema};
@@ -6,10 +6,10 @@
 use serde_json::Value;
 use std::path::Path;
 
-/// Largest number of problems in one error, so that a file of another kind does not flood the log.
+/// Maximum number of problems in one error, so that a file that contains no settings at all does not flood the log.
 const MAX_PROBLEMS: usize = 20;
 
-/// The JSON Schema (draft 2020-12) of a type of settings.
+/// Returns the JSON Schema (draft 2020-12) of a settings type.
 pub fn schema<T: JsonSchema>() -> Value {
     let generator = SchemaSettings::draft2020_12()
         .for_deserialize()
@@ -17,12 +17,12 @@
     generator.into_root_schema_for::<T>().to_value()
 }
 
-/// Reads settings that are evaluated already. The file is only named in errors.
+/// Reads settings from a JSON value. The file is not read; errors name it.
 ///
 /// # Errors
 ///
-/// [`Error::Invalid`], with the problems of the first check that fails: the schema, deserialization, and then
-/// [`Checked::check`].
+/// Returns [`Error::Invalid`] with the problems of the first step that fails. The steps are validation against the
+/// schema, deserialization, and [`Checked::check`].
 pub fn read<T: JsonSchema + DeserializeOwned + Checked>(
     file: &Path,
     json: &Value,
@@ -38,7 +38,7 @@
 
 fn check_schema<T: JsonSchema>(json: &Value) -> Result<(), Vec<Problem>> {
     let validator = jsonschema::validator_for(&schema::<T>()).map_err(|error| {
-        let reason = format!("no schema to check by: {error}");
+        let reason = format!("the schema of the settings is invalid: {error}");
         vec![Problem::new("", reason)]
     })?;
     let problems: Vec<Problem> = validator
--- a/crates/config/src/variables.rs
+++ b/crates/config/src/variables.rs
@@ -1,9 +1,9 @@
-//! Values for a template's parameters, as the command line gives them.
+//! Values for a template's parameters, given on the command line.
 
 use std::fmt;
 use thiserror::Error;
 
-/// Why a variable could not be read.
+/// Reason for which the text of a variable was rejected.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum VariableError {
     /// The text has no `=`.
@@ -14,21 +14,21 @@
     InvalidName(String),
 }
 
-/// Values for a template's parameters, as the command line gives them: `gateways=8`.
+/// Values for a template's parameters, given on the command line in the form `gateways=8`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Variables(Vec<(String, String)>);
 
 impl Variables {
-    /// No variables.
+    /// Returns an empty list of variables.
     pub fn none() -> Self {
         Self::default()
     }
 
-    /// Adds a variable from `name=value`. A name that is given twice takes its last value.
+    /// Adds a variable from text of the form `name=value`. A variable of the same name is replaced.
     ///
     /// # Errors
     ///
-    /// There is no `=`, or the name is not an identifier.
+    /// Returns an error if the text has no `=`, or if the name is not an identifier.
     pub fn add(&mut self, pair: &str) -> Result<(), VariableError> {
         let (name, value) = pair
             .split_once('=')
@@ -41,7 +41,7 @@
         Ok(())
     }
 
-    /// These variables and the others. Where both have a name, the others' value is used.
+    /// Returns these variables merged with `others`. Where both contain a name, the value from `others` is used.
     pub fn with(&self, others: &Variables) -> Variables {
         let mut merged = self.clone();
         merged
@@ -51,7 +51,7 @@
         merged
     }
 
-    /// The names and values, in the order in which they were given.
+    /// Iterates over the names and values, in the order in which they were added.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
         let pairs = self.0.iter();
         pairs.map(|(name, value)| (name.as_str(), value.as_str()))
--- a/crates/config/tests/templates.rs
+++ b/crates/config/tests/templates.rs
@@ -156,7 +156,7 @@
     assert_eq!(parsed.to_string(), "a=x=y");
 }
 
-/// Operators and scripts see these texts.
+/// Operators read these texts, and scripts match them.
 #[test]
 fn errors_have_stable_texts() {
     let file = || "a.jsonnet".into();
