--- a/crates/host-index/src/host_index.rs
+++ b/crates/host-index/src/host_index.rs
@@ -1,38 +1,38 @@
-//! Hosts by the id under which the fleet knows them, by group, and by whether the list still has them.
+//! An index of hosts by their fleet-wide id, by group, and by whether the endpoint list still contains them.
 
 use irisrouter_cluster_types::HostId;
 use smallvec::SmallVec;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A member and its group.
+/// A host that is a member of a group, together with the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupMember<M, G> {
-    /// The member.
+    /// The host.
     pub member: M,
-    /// Its group.
+    /// The group that the host is a member of.
     pub group: G,
 }
 
-/// What the index depends on of a host.
+/// The part of a host's state that the index depends on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct IndexedState<G> {
-    /// The id by which all gateways of the fleet know it; two hosts may share one.
+    /// Id of the host, the same in all gateways of the fleet. Two hosts may have the same id.
     pub fleet_id: HostId,
-    /// Its group.
+    /// The group that the host is a member of.
     pub group: G,
-    /// Whether requests may be sent to it.
+    /// Whether requests may be sent to the host.
     pub accepts_requests: bool,
-    /// Whether the list does not contain it any more.
+    /// Whether the host was removed from the endpoint list.
     pub removed: bool,
 }
 
-/// The index, of members `M` in groups `G`.
+/// An index of hosts, identified by `M`, in groups, identified by `G`.
 pub struct HostIndex<M, G> {
     by_fleet_id: HashMap<HostId, BTreeSet<M>>,
-    /// The hosts that accept requests, with their groups. Each result that another gateway sends is looked up here, and
-    /// what it needs stands in one place.
+    /// The hosts that accept requests, with their groups. They are stored together, because each result that another
+    /// gateway sends causes a lookup that needs both.
     accepting_by_fleet_id: HashMap<HostId, SmallVec<[GroupMember<M, G>; 1]>>,
-    /// The hosts of each group that accept requests; no entry for a group without any.
+    /// The hosts of each group that accept requests. A group without such hosts has no entry.
     accepting: BTreeMap<G, BTreeSet<M>>,
     removed: BTreeSet<M>,
     groups_version: u64,
@@ -51,7 +51,8 @@
 }
 
 impl<M: Copy + Ord, G: Copy + Ord> HostIndex<M, G> {
-    /// Takes the change of a host from its state `before`, none where it is new, to `after`, none where it is forgotten.
+    /// Updates the index for a change of a host's state. `before` is `None` for a new host, and `after` is `None` for a
+    /// host that is deleted.
     pub fn replace(
         &mut self,
         member: M,
@@ -109,34 +110,34 @@
         }
     }
 
-    /// The hosts which the fleet knows by this id, in ascending order.
+    /// Returns the hosts with this fleet-wide id, in ascending order.
     pub fn with_fleet_id(&self, fleet_id: HostId) -> impl Iterator<Item = M> + '_ {
         let members = self.by_fleet_id.get(&fleet_id);
         members.into_iter().flatten().copied()
     }
 
-    /// The hosts that accept requests and that the fleet knows by this id.
+    /// Returns the hosts with this fleet-wide id that accept requests, with their groups, in no particular order.
     pub fn accepting_with_fleet_id(&self, fleet_id: HostId) -> &[GroupMember<M, G>] {
         let members = self.accepting_by_fleet_id.get(&fleet_id);
         members.map_or(&[], SmallVec::as_slice)
     }
 
-    /// The hosts of a group that accept requests, in ascending order.
+    /// Returns the hosts of a group that accept requests, in ascending order.
     pub fn accepting(&self, group: G) -> impl Iterator<Item = M> + '_ {
         self.accepting.get(&group).into_iter().flatten().copied()
     }
 
-    /// The groups with hosts that accept requests, in ascending order.
+    /// Returns the groups that have hosts that accept requests, in ascending order.
     pub fn groups_in_service(&self) -> impl Iterator<Item = G> + '_ {
         self.accepting.keys().copied()
     }
 
-    /// A number that changes whenever [`HostIndex::groups_in_service`] does.
+    /// Returns a version number that changes whenever [`HostIndex::groups_in_service`] changes.
     pub fn groups_version(&self) -> u64 {
         self.groups_version
     }
 
-    /// The hosts that the list does not contain any more, in ascending order.
+    /// Returns the hosts that were removed from the endpoint list, in ascending order.
     pub fn removed(&self) -> impl Iterator<Item = M> + '_ {
         self.removed.iter().copied()
     }
--- a/crates/host-index/src/idle_connections.rs
+++ b/crates/host-index/src/idle_connections.rs
@@ -1,20 +1,21 @@
-//! The idle connections to all hosts, by host and in the order in which they became idle: a host without any costs
-//! nothing, however many hosts there are.
+//! The idle connections to all hosts, by host and in the order in which they became idle. Hosts without idle
+//! connections take no memory and no time.
 
 use std::collections::{BTreeMap, HashMap};
 use std::hash::Hash;
 
-/// An idle connection, and its place in the order in which connections became idle.
+/// An idle connection, and its sequence number in the order in which connections became idle.
 struct IdleConnection<C> {
     sequence: u64,
     connection: C,
 }
 
-/// Idle connections, of type `C`, to members `M`.
+/// Idle connections of type `C` to hosts that are identified by `M`.
 pub struct IdleConnections<M, C> {
-    /// Those of each host, in the order in which they became idle; no entry for a host without any.
+    /// The idle connections to each host, in the order in which they became idle. A host without idle connections has
+    /// no entry.
     by_host: HashMap<M, Vec<IdleConnection<C>>>,
-    /// The hosts of all connections, in the order in which the connections became idle.
+    /// The host of each idle connection, by the connection's sequence number.
     order: BTreeMap<u64, M>,
     next_sequence: u64,
 }
@@ -30,7 +31,7 @@
 }
 
 impl<M: Copy + Eq + Hash, C> IdleConnections<M, C> {
-    /// Adds a connection that becomes idle now.
+    /// Adds a connection that has just become idle.
     pub fn insert(&mut self, member: M, connection: C) {
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -42,7 +43,8 @@
         });
     }
 
-    /// Takes the connection to a host that became idle last of those that may be used.
+    /// Removes and returns the connection to a host that became idle last among those for which `may_be_used` returns
+    /// true.
     pub fn take_last(&mut self, member: M, may_be_used: impl Fn(&C) -> bool) -> Option<C> {
         let of_host = self.by_host.get(&member)?;
         let position = of_host
@@ -51,13 +53,13 @@
         self.take(member, position)
     }
 
-    /// Takes the connection that has been idle longest.
+    /// Removes and returns the connection that has been idle longest, to any host.
     pub fn take_longest_idle(&mut self) -> Option<C> {
         let (_, &member) = self.order.first_key_value()?;
         self.take(member, 0)
     }
 
-    /// Closes the connections to a host that are not to be kept.
+    /// Drops the idle connections to a host for which `keep` returns false.
     pub fn retain_of(&mut self, member: M, keep: impl Fn(&C) -> bool) {
         let Some(of_host) = self.by_host.get_mut(&member) else {
             return;
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Closes the connections to all hosts that are not to be kept.
+    /// Drops the idle connections to all hosts for which `keep` returns false.
     pub fn retain(&mut self, keep: impl Fn(&C) -> bool) {
         let members: Vec<M> = self.by_host.keys().copied().collect();
         for member in members {
--- a/crates/host-index/src/lib.rs
+++ b/crates/host-index/src/lib.rs
@@ -1,7 +1,7 @@
-//! Indexes to the database hosts of a fleet, and to the idle connections to them.
+//! Indexes of the database hosts of a fleet, and of the idle connections to them.
 //!
-//! What concerns one host, one group or one connection takes no walk over all of them, however many there are. Nothing here
-//! knows a socket or a clock.
+//! Operations on one host, one group or one connection do not iterate over all hosts, groups or connections. The
+//! package does no I/O and reads no clock.
 
 mod host_index;
 mod idle_connections;
--- a/crates/host-index/tests/host_index.rs
+++ b/crates/host-index/tests/host_index.rs
@@ -1,4 +1,4 @@
-//! The index to the hosts, against a look at every host.
+//! Compares the host index with a scan of all hosts.
 
 use irisrouter_cluster_types::HostId;
 use irisrouter_host_index::{GroupMember, HostIndex, IndexedState};
@@ -7,12 +7,12 @@
 
 const MEMBERS: u32 = 6;
 const GROUPS: i64 = 3;
-/// Fewer than members, so that some share one.
+/// Number of fleet-wide ids: fewer than members, so that some members share an id.
 const FLEET_IDS: u32 = 3;
 
 type State = IndexedState<i64>;
 
-/// A member's next state; none where it is forgotten.
+/// Generates a member and its next state; `None` deletes the member.
 fn change() -> impl Strategy<Value = (u32, Option<State>)> {
     let state = (0..FLEET_IDS, 0..GROUPS, any::<bool>(), any::<bool>()).prop_map(
         |(fleet_id, group, accepts_requests, removed)| State {
@@ -25,7 +25,7 @@
     (0..MEMBERS, prop::option::weighted(0.8, state))
 }
 
-/// What the index says has to be what a look at every host says.
+/// Asserts that the index returns the same hosts and groups as a scan of all hosts.
 fn check(index: &HostIndex<u32, i64>, hosts: &BTreeMap<u32, State>) {
     let found = |is_found: &dyn Fn(&State) -> bool| -> Vec<u32> {
         let hosts = hosts.iter().filter(|(_, state)| is_found(state));
--- a/crates/host-index/tests/idle_connections.rs
+++ b/crates/host-index/tests/idle_connections.rs
@@ -1,9 +1,9 @@
-//! Idle connections, against a plain list of them.
+//! Compares the index of idle connections with a plain list.
 
 use irisrouter_host_index::IdleConnections;
 use proptest::prelude::*;
 
-/// What happens to idle connections, which are numbers here.
+/// An operation on the idle connections. The test uses numbers as connections.
 #[derive(Clone, Debug)]
 enum Step {
     Inserted { member: u32 },
