--- a/crates/endpoint-watch/src/codec.rs
+++ b/crates/endpoint-watch/src/codec.rs
@@ -1,9 +1,9 @@
-//! The heartbeat's datagram, sent to all gateways at once, bounded and versioned. All numbers are big-endian.
+//! Encoding of a heartbeat as a versioned datagram of bounded size. All numbers are big-endian.
 //!
 //! ```text
 //! 0        magic and version: 0xF1 (`irisrouter_datagram::magic` lists all protocols on the peer socket)
-//! 1..9     epoch of the watcher     9..17 revision of the list that it has
-//! 17       count, then 4 bytes each: the number of a host that this list has out of service
+//! 1..9     epoch of the watcher's lease     9..17 revision of the watcher's endpoint list
+//! 17       count of hosts, then 4 bytes each: the id of a host that this list marks as out of service
 //! ```
 
 use crate::heartbeat::{Heartbeat, MAX_HOSTS_OUT_OF_SERVICE};
@@ -15,15 +15,15 @@
 pub use irisrouter_datagram::magic::ENDPOINT_WATCH as MAGIC;
 pub use irisrouter_datagram::{WireError, MAX_DATAGRAM_BYTES};
 
-/// The epoch of no lease: no watcher sends it.
+/// An epoch that no lease has, so that no watcher sends it.
 const NO_EPOCH: Epoch = Epoch(0);
-/// Bytes ahead of the hosts: the first byte, epoch, revision and the count.
+/// Size of the fields before the hosts, in bytes: magic byte, epoch, revision and count.
 const HEADER_BYTES: usize = 18;
-/// Bytes of a host's number.
+/// Size of a host's id, in bytes.
 const HOST_BYTES: usize = 4;
 const _: () = assert!(HEADER_BYTES + MAX_HOSTS_OUT_OF_SERVICE * HOST_BYTES <= MAX_DATAGRAM_BYTES);
 
-/// The bytes of a heartbeat; hosts beyond [`MAX_HOSTS_OUT_OF_SERVICE`] are left out.
+/// Encodes a heartbeat. Hosts beyond the first [`MAX_HOSTS_OUT_OF_SERVICE`] are left out.
 #[must_use]
 pub fn encode(heartbeat: &Heartbeat) -> Vec<u8> {
     let hosts = &heartbeat.hosts_out_of_service;
@@ -32,7 +32,7 @@
     buffer.put_u8(MAGIC);
     buffer.put_u64(heartbeat.epoch.0);
     buffer.put_u64(heartbeat.revision.0);
-    // At most 59, so the count fits.
+    // The cast is lossless, because there are at most 59 hosts.
     buffer.put_u8(hosts.len() as u8);
     for host in hosts {
         buffer.put_u32(host.0);
@@ -40,10 +40,10 @@
     buffer
 }
 
-/// Reads a heartbeat.
+/// Decodes a heartbeat.
 ///
 /// # Errors
-/// The bytes are no heartbeat of this version, or its epoch is 0.
+/// Returns an error if the bytes are not a heartbeat of this version, or if its epoch is 0.
 pub fn decode(datagram: &[u8]) -> Result<Heartbeat, WireError> {
     let mut reader = Reader::new(datagram, MAGIC)?;
     let epoch = Epoch(reader.u64()?);
@@ -58,7 +58,7 @@
     })
 }
 
-/// Whether a datagram is a heartbeat of the watch, in whatever version.
+/// Returns whether a datagram is a heartbeat of the endpoint watch, of any version.
 #[must_use]
 pub fn recognizes(datagram: &[u8]) -> bool {
     irisrouter_datagram::has_magic(datagram, MAGIC)
--- a/crates/endpoint-watch/src/heartbeat.rs
+++ b/crates/endpoint-watch/src/heartbeat.rs
@@ -1,18 +1,18 @@
-//! What the watcher announces to all other gateways.
+//! The message that the watcher sends to all other gateways.
 
 use crate::Revision;
 use irisrouter_cluster_types::{Epoch, HostId};
 
-/// Hosts that a heartbeat can name, so that it fits into one datagram.
+/// Maximum number of hosts in a heartbeat, so that it fits into one datagram.
 pub const MAX_HOSTS_OUT_OF_SERVICE: usize = 59;
 
-/// What the watcher announces to all other gateways.
+/// The message with which the watcher announces the state of its endpoint list to all other gateways.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Heartbeat {
-    /// The epoch of the watcher's lease; not 0.
+    /// Epoch of the watcher's lease; never 0.
     pub epoch: Epoch,
-    /// The revision of the watcher's list.
+    /// Revision of the watcher's endpoint list.
     pub revision: Revision,
-    /// The hosts that this list has out of service.
+    /// Hosts that this list marks as out of service.
     pub hosts_out_of_service: Vec<HostId>,
 }
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -1,14 +1,15 @@
-//! One watcher of the endpoint list for a whole fleet, where one discovery service answers all gateways.
+//! A shared watch of the endpoint list: one gateway watches the discovery service on behalf of the whole fleet.
 //!
-//! Watching is a leased task (`irisrouter-leases`, [`TASK_ID`]). The lease holder keeps a long poll open at the service.
-//! While its calls are answered it sends all other gateways a short [`Heartbeat`] with the revision of its list and the
-//! hosts that this list has out of service. The other gateways keep no long poll open. They send nothing to the hosts that
-//! a heartbeat names, from the moment at which they receive it. Everything else they fetch from the service themselves,
-//! one gateway after another: a host's address is only valid as the service gives it to the gateway that asks, and a host
-//! that a gateway's own list has not named gets nothing.
+//! Watching is a leased task (`irisrouter-leases`, [`TASK_ID`]). The lease holder keeps a long poll open at the
+//! discovery service. While the service answers its calls, it sends all other gateways a short [`Heartbeat`] with the
+//! revision of its endpoint list and the hosts that this list marks as out of service. The other gateways keep no long
+//! poll open. They stop sending requests to the hosts named in a heartbeat as soon as they receive it. All other
+//! changes they fetch from the service themselves, one gateway after another. A heartbeat cannot carry these changes,
+//! because a host's address is only valid for the gateway to which the service gave it, and a gateway sends requests
+//! only to hosts on its own list.
 //!
-//! A gateway that receives no heartbeat for a while, or only heartbeats of a list older than its own, watches for itself,
-//! as all gateways do without this package.
+//! A gateway that receives no heartbeat for some time, or only heartbeats of a list older than its own, watches the
+//! service itself, as all gateways do without this package.
 //!
 //! The package does no I/O, reads no clock and starts no task.
 
@@ -30,6 +31,6 @@
 
 use irisrouter_cluster_types::TaskId;
 
-/// The task as which the watch is leased ("WATCH" in ASCII): it lies beyond any number that a platform gives a set,
-/// and beyond the number of any drain.
+/// Id of the leased task for the watch ("WATCH" in ASCII). It is larger than any number that a platform assigns to a
+/// group and than the task id of any drain, so that it does not collide with them.
 pub const TASK_ID: TaskId = TaskId(0x5741_5443_4800_0000);
--- a/crates/endpoint-watch/src/poll_decision.rs
+++ b/crates/endpoint-watch/src/poll_decision.rs
@@ -1,29 +1,29 @@
-//! What a gateway does next about its own endpoint list, and what that depends on.
+//! The decision whether a gateway polls the discovery service, and the local state that the decision depends on.
 
 use crate::Revision;
 use irisrouter_cluster_types::{Epoch, Milliseconds};
 
-/// What a gateway does next about its own endpoint list.
+/// The next step by which a gateway keeps its own endpoint list up to date.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PollDecision {
-    /// Call, and let the service hold the call until there is a change: this gateway holds the lease of the watch, or
-    /// receives no heartbeats of another watcher.
+    /// Start a long poll, which the service answers when the list changes. This gateway holds the lease of the watch,
+    /// or has no recent heartbeat from a watcher whose list is at least as new as its own.
     Watch,
-    /// Call once for the list that the service has now.
+    /// Fetch the current list once, without a long poll.
     Fetch,
-    /// Do not call for this time, unless a heartbeat arrives.
+    /// Make no call for this duration, unless a heartbeat arrives.
     Wait(Milliseconds),
 }
 
-/// What a gateway knows of itself.
+/// State of this gateway that the watch depends on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LocalState {
-    /// The fencing token of the watch, where this gateway holds its lease.
+    /// Fencing token of the watch's lease; `None` if this gateway does not hold the lease.
     pub fencing_token: Option<Epoch>,
-    /// The revision of its list; none before the first.
+    /// Revision of this gateway's endpoint list; `None` before the first list was received.
     pub revision: Option<Revision>,
-    /// It needs the whole list at once, as after a change of the service's address.
+    /// Whether this gateway needs the full list at once, for example after a change of the service's address.
     pub needs_full_list: bool,
-    /// The number of gateways alive that fetch before this one.
+    /// Number of live gateways that fetch the list before this one.
     pub rank: u64,
 }
--- a/crates/endpoint-watch/src/settings.rs
+++ b/crates/endpoint-watch/src/settings.rs
@@ -2,9 +2,10 @@
 
 use irisrouter_cluster_types::Milliseconds;
 
-/// Time between the fetches of two gateways for one change of the list: the service does not answer all of them at once.
+/// Time between the fetches of two gateways for the same change of the list, so that the service does not receive the
+/// calls of all gateways at once.
 const FETCH_STAGGER: Milliseconds = Milliseconds(20);
-/// Time between two fetches of one gateway while the service does not have the announced revision yet.
+/// Time between two fetches of one gateway while the service does not return the announced revision yet.
 const REFETCH_INTERVAL: Milliseconds = Milliseconds(1_000);
 
 /// Settings of the watch.
@@ -12,19 +13,19 @@
 pub struct Settings {
     /// Time between two heartbeats.
     pub heartbeat_interval: Milliseconds,
-    /// Time without a heartbeat after which a gateway watches for itself.
+    /// Time since the last heartbeat after which a gateway watches the service itself.
     pub silence_timeout: Milliseconds,
-    /// Time between the fetches of two gateways for one change.
+    /// Time between the fetches of two gateways for the same change of the list.
     pub fetch_stagger: Milliseconds,
-    /// Time between two fetches of one gateway, where the service does not have the announced revision yet.
+    /// Time between two fetches of one gateway while the service does not return the announced revision yet.
     pub refetch_interval: Milliseconds,
 }
 
 impl Settings {
-    /// The settings of a fleet whose leases run for `lease`.
+    /// Returns the settings for a fleet whose leases have the duration `lease`.
     ///
-    /// The silence timeout is longer than the bound of a lease's takeover, so that the death of a watcher does not make the
-    /// whole fleet watch.
+    /// The silence timeout is longer than the maximum time until another gateway takes over the lease. Otherwise all
+    /// gateways would start to watch the service when a watcher fails.
     #[must_use]
     pub const fn for_lease(lease: Milliseconds) -> Self {
         Self {
--- a/crates/endpoint-watch/src/watcher.rs
+++ b/crates/endpoint-watch/src/watcher.rs
@@ -1,4 +1,4 @@
-//! The fleet's watch, as one gateway takes part in it: heartbeats sent and received, and what follows from them.
+//! One gateway's part in the shared watch: the heartbeats that it sends and receives, and when it polls the service.
 
 use crate::heartbeat::Heartbeat;
 use crate::poll_decision::{LocalState, PollDecision};
@@ -6,31 +6,32 @@
 use crate::Revision;
 use irisrouter_cluster_types::{Epoch, HostId, Timestamp};
 
-/// Which list a heartbeat announces. Ordered by epoch first: the list of a later watcher counts, even if it is older.
+/// The list that a heartbeat announces. It is ordered by epoch first, because the list of a later watcher is
+/// authoritative even if its revision is older.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct AnnouncedList {
     epoch: Epoch,
     revision: Revision,
 }
 
-/// The heartbeat that counts, with what was done about it.
+/// The latest accepted heartbeats, which announce the same list, and the fetch that they caused.
 struct ReceivedHeartbeat {
     list: AnnouncedList,
-    /// When the last heartbeat of this revision arrived.
+    /// Time at which the last heartbeat with this list arrived.
     last_received_at: Timestamp,
-    /// When the first heartbeat of this revision arrived.
+    /// Time at which the first heartbeat with this list arrived.
     first_received_at: Timestamp,
-    /// When this gateway last fetched the list because of this revision.
+    /// Time at which this gateway last fetched its list because of these heartbeats.
     fetched_at: Option<Timestamp>,
 }
 
-/// The heartbeat that this gateway sent last.
+/// The last heartbeat that this gateway sent.
 struct SentHeartbeat {
     revision: Revision,
     sent_at: Timestamp,
 }
 
-/// The fleet's watch, as one gateway sees it.
+/// The state of the shared watch in one gateway.
 pub struct EndpointWatcher {
     settings: Settings,
     received: Option<ReceivedHeartbeat>,
@@ -40,7 +41,7 @@
 }
 
 impl EndpointWatcher {
-    /// A gateway that has received no heartbeat.
+    /// Creates the state of a gateway that has neither sent nor received a heartbeat.
     #[must_use]
     pub const fn new(settings: Settings) -> Self {
         Self {
@@ -51,9 +52,9 @@
         }
     }
 
-    /// Takes a heartbeat of another gateway, and returns whether it counts. It does not where its epoch is older than the
-    /// latest one received, nor where its revision is older under the same epoch: a datagram that was delayed would bring
-    /// an older list back.
+    /// Records a heartbeat of another gateway, and returns whether it was accepted. A heartbeat is ignored if its epoch
+    /// is older than the latest accepted one, or if the epoch is the same and its revision is older. Otherwise a
+    /// delayed datagram would bring back the state of an older list.
     pub fn receive_heartbeat(&mut self, now: Timestamp, epoch: Epoch, revision: Revision) -> bool {
         let list = AnnouncedList { epoch, revision };
         if let Some(latest) = &mut self.received {
@@ -74,14 +75,15 @@
         true
     }
 
-    /// Records whether this gateway's last call to the service was answered. A watcher that can't reach the service sends
-    /// no heartbeats, as these would stop all others from watching for themselves.
+    /// Records whether the service answered this gateway's last call. A watcher that can't reach the service sends no
+    /// heartbeats, because they would keep all other gateways from watching the service themselves.
     pub fn record_call(&mut self, answered: bool) {
         self.healthy = answered;
     }
 
-    /// The heartbeat that this gateway is to send now: at once with a new revision, and then at each interval, while it
-    /// holds the lease of the watch and its calls are answered.
+    /// Returns the heartbeat that this gateway is to send now, or `None` if none is due. A gateway sends heartbeats
+    /// while it holds the lease of the watch and the service answers its calls: at once for a new revision, and then at
+    /// each interval.
     pub fn due_heartbeat(
         &mut self,
         now: Timestamp,
@@ -112,8 +114,8 @@
         })
     }
 
-    /// When [`EndpointWatcher::due_heartbeat`] may return one next; `holds_lease` says whether this gateway holds the lease
-    /// of the watch.
+    /// Returns the next time at which [`EndpointWatcher::due_heartbeat`] may return a heartbeat. `holds_lease` is
+    /// whether this gateway holds the lease of the watch.
     #[must_use]
     pub fn next_heartbeat_at(&self, now: Timestamp, holds_lease: bool) -> Timestamp {
         if !holds_lease {
@@ -126,7 +128,8 @@
         }
     }
 
-    /// Whether another gateway watches a list that is not older than this gateway's, so that this one need not watch.
+    /// Returns whether another gateway watches the service and has a list that is not older than this gateway's, so
+    /// that this gateway need not watch.
     #[must_use]
     pub fn is_superseded(&self, now: Timestamp, local: LocalState) -> bool {
         if local.fencing_token.is_some() || local.needs_full_list {
@@ -139,8 +142,8 @@
             && latest.list.revision >= revision
     }
 
-    /// What this gateway is to do next about its own list. After [`PollDecision::Fetch`] the caller is taken to have
-    /// fetched.
+    /// Decides the next step for this gateway's own list. A returned [`PollDecision::Fetch`] is recorded as a fetch:
+    /// the caller must carry it out.
     pub fn decide_poll(&mut self, now: Timestamp, local: LocalState) -> PollDecision {
         let Some(revision) = local.revision.filter(|_| !local.needs_full_list) else {
             return PollDecision::Fetch;
@@ -154,7 +157,8 @@
             let silent_at = latest.last_received_at + settings.silence_timeout;
             return PollDecision::Wait(silent_at.saturating_duration_since(now));
         }
-        // A service that does not have the announced revision yet must not be called without end.
+        // Without the interval, this gateway would call the service in a busy loop until it returns the announced
+        // revision.
         let fetch_at = match latest.fetched_at {
             Some(fetched_at) => fetched_at + settings.refetch_interval,
             None => latest.first_received_at + settings.fetch_stagger * local.rank,
--- a/crates/endpoint-watch/tests/golden.rs
+++ b/crates/endpoint-watch/tests/golden.rs
@@ -1,12 +1,13 @@
-//! Golden tests of the heartbeat by which the watcher of the endpoint list is known to its fleet.
+//! Golden tests of the heartbeat that the watcher of the endpoint list sends to the other gateways of its fleet.
 //!
-//! Pinned are the exact bytes of a heartbeat, what the decoder says of these bytes and of malformed ones, and the number of the
-//! watch as a leased task. A fleet is upgraded one gateway at a time, so gateways of the old and the new version exchange these
-//! datagrams with each other and have to agree on who watches: a change of a single byte or of the number would make half
-//! of the fleet watch for itself, or send requests to hosts that are out of service. A refactoring must leave every literal
-//! in this file as it is; a wanted change of the format needs a new first byte.
+//! The tests pin the exact bytes of a heartbeat, the decoder's result for these bytes and for malformed ones, and the
+//! id of the leased task for the watch. A fleet is upgraded one gateway at a time, so that gateways of the old and the
+//! new version exchange these datagrams and must agree on which gateway watches. A change of a single byte or of the
+//! task id would make half of the fleet watch for itself, or send requests to hosts that are out of service. A
+//! refactoring must leave every literal in this file as it is; an intended change of the format needs a new first byte.
 //!
-//! Literals are groups of hex digits, one group for each field of the layout; the white space between them means nothing.
+//! Literals are groups of hex digits, one group for each field of the layout; white space between the groups is
+//! ignored.
 
 use irisrouter_cluster_types::{Epoch, HostId, TaskId};
 use irisrouter_endpoint_watch::codec::{decode, encode, WireError, MAGIC, MAX_DATAGRAM_BYTES};
@@ -18,7 +19,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-// Values: all heartbeats that are pinned here are built in this part of the file.
+// Values: this section builds all heartbeats that the tests pin.
 
 fn heartbeat(hosts: &[u32]) -> Heartbeat {
     Heartbeat {
@@ -65,7 +66,7 @@
     expected.split_whitespace().collect()
 }
 
-/// A heartbeat has these bytes, and is `read` from them.
+/// Asserts that a heartbeat is encoded as the expected bytes, and that these are decoded as `read`.
 #[track_caller]
 fn pins_as(heartbeat: &Heartbeat, expected: &str, read: &Heartbeat) {
     let bytes = encode(heartbeat);
@@ -89,7 +90,7 @@
     );
 }
 
-// The bytes.
+// Encoding.
 
 #[test]
 fn bounds_and_first_byte_keep_their_values() {
@@ -139,7 +140,7 @@
     );
 }
 
-// What is refused. A heartbeat has no kinds, so there is no unknown one.
+// Rejected datagrams. A heartbeat datagram has no kind field, so that no test covers an unknown kind.
 
 #[test]
 fn empty_datagram_is_refused_as_short() {
--- a/crates/endpoint-watch/tests/watch.rs
+++ b/crates/endpoint-watch/tests/watch.rs
@@ -1,4 +1,4 @@
-//! Which gateway watches, which one fetches and which one waits, by the heartbeats that they received.
+//! The decision of a gateway to watch, fetch or wait, depending on the heartbeats that it received.
 
 use irisrouter_cluster_types::{Epoch, HostId, Milliseconds, Timestamp};
 use irisrouter_endpoint_watch::{
@@ -10,12 +10,12 @@
 const SETTINGS: Settings = Settings::for_lease(Milliseconds(1_000));
 const RANK: u64 = 3;
 
-/// The instant at which the test's clock shows this many milliseconds.
+/// Returns the given time on the test's clock.
 fn at(milliseconds: u64) -> Timestamp {
     Timestamp::from_millis(milliseconds)
 }
 
-/// A gateway without the lease of the watch, with a list of this revision.
+/// State of a gateway that has a list of this revision and does not hold the lease of the watch.
 fn at_revision(revision: u64) -> LocalState {
     LocalState {
         fencing_token: None,
@@ -25,7 +25,7 @@
     }
 }
 
-/// The holder of the lease, under epoch 9.
+/// State of the gateway that holds the lease of the watch, under epoch 9.
 fn lease_holder_at(revision: u64) -> LocalState {
     LocalState {
         fencing_token: Some(Epoch(9)),
@@ -68,7 +68,8 @@
         watcher.decide_poll(at(200) + stagger, at_revision(5)),
         PollDecision::Fetch
     );
-    // While the service does not have the revision yet, heartbeats that repeat it do not make a gateway fetch without end.
+    // Repeated heartbeats for a revision that the service does not return yet cause no fetches before the interval has
+    // passed.
     assert!(watcher.receive_heartbeat(at(270), Epoch(9), Revision(6)));
     assert_eq!(
         watcher.decide_poll(at(280), at_revision(5)),
@@ -96,7 +97,7 @@
     );
 }
 
-/// Guards against gateways that wait for a watcher that is gone, or for one whose list is older than theirs.
+/// Guards against gateways that keep waiting for a watcher that has failed, or for one whose list is older than theirs.
 #[test]
 fn gateway_watches_for_itself_without_heartbeats_or_with_those_of_an_older_list() {
     let mut watcher = EndpointWatcher::new(SETTINGS);
@@ -136,7 +137,7 @@
     );
 }
 
-/// Guards against a watcher that can't reach the service and keeps all others from watching.
+/// Guards against a watcher that can't reach the service and whose heartbeats keep all other gateways from watching.
 #[test]
 fn lease_holder_sends_heartbeats_only_while_its_calls_are_answered() {
     let mut watcher = EndpointWatcher::new(SETTINGS);
