--- a/crates/retry-storm/src/budget_lease.rs
+++ b/crates/retry-storm/src/budget_lease.rs
@@ -1,43 +1,45 @@
 //! Leases of a recovering host's budget among gateways that may be unable to reach each other.
 //!
-//! Every gateway owns the same share of the host's budget, and leases what it does not use to others until a stated time.
-//! The owner does not use what it has leased before the lease has expired, whether or not the message arrives. So the sum
-//! of what all gateways may send never exceeds the budget, whatever messages are lost, delayed or repeated and whichever
-//! gateways fail. The only requirement is a clock that all gateways read, with a bound on its error.
+//! Every gateway owns an equal share of the host's budget, and can lease the part that it does not use to other
+//! gateways until a stated time. The owner does not use a leased amount before the lease has expired, whether or not
+//! the lease message reaches its holder. The amounts that all gateways may send therefore never add up to more than the
+//! budget, whatever messages are lost, delayed or repeated and whichever gateways fail. The only requirement is that
+//! the clocks of all gateways agree within a known margin, [`CLOCK_ERROR_MARGIN`].
 
 use crate::{Nanos, MILLISECOND};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Longest lease. A gateway that has restarted waits for this time before it uses its own share: its earlier process may
-/// have leased it, and the new one does not know.
+/// Maximum duration of a lease. A restarted gateway waits for this time and the clock error margin before it uses its
+/// own share, because its previous process may have leased the share out, and the new process does not know of those
+/// leases.
 pub const MAX_LEASE_DURATION: Nanos = 500 * MILLISECOND;
-/// Most by which the clocks of two gateways differ.
+/// Maximum difference between the clocks of two gateways.
 pub const CLOCK_ERROR_MARGIN: Nanos = 20 * MILLISECOND;
-/// Largest number of leases that are kept in each direction, so that messages from outside cannot fill the memory.
+/// Maximum number of granted leases, and of held leases, so that messages from outside cannot exhaust the memory.
 const MAX_LEASES: usize = 1024;
 
-/// A gateway.
+/// Identifier of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GatewayId(pub u16);
 
 /// A lease of part of a host's budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Lease {
-    /// The gateway that may use it.
+    /// The gateway that may use the leased amount.
     pub holder: GatewayId,
-    /// The owner's number for it, which the owner does not use twice within [`MAX_LEASE_DURATION`].
+    /// Number that the owner assigned to the lease. The owner does not reuse it within [`MAX_LEASE_DURATION`].
     pub number: u32,
-    /// How much is leased, in the units of the shares.
+    /// The leased amount, in the same unit as the shares.
     pub amount: u32,
-    /// When the lease expires.
+    /// Time at which the lease expires.
     pub expires_at: Nanos,
 }
 
-/// Why a lease was not accepted.
+/// Reason for which a received lease was rejected.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LeaseRejected {
-    /// The lease is for another gateway, or from this one.
+    /// The holder named in the lease is another gateway, or the sender is this gateway.
     #[error("the lease is for another gateway, or from this one")]
     WrongGateway,
     /// The lease has expired.
@@ -46,41 +48,41 @@
     /// The lease is longer than [`MAX_LEASE_DURATION`].
     #[error("the lease is too long")]
     TooLong,
-    /// The amount is 0, or the sender leases more than its share.
+    /// The amount is 0, or the sender's leases to this gateway add up to more than the sender's share.
     #[error("the amount is 0 or more than the sender's share")]
     InvalidAmount,
-    /// The lease was accepted before.
+    /// A lease with the same owner and number is already held.
     #[error("the lease was accepted before")]
     Duplicate,
-    /// There are too many leases.
+    /// This gateway already holds the maximum number of leases.
     #[error("there are too many leases")]
     TooMany,
 }
 
-/// Part of the own share that another gateway may use.
+/// Part of this gateway's own share, leased to another gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct GrantedLease {
     amount: u32,
-    /// When its owner may use it again: the clock error margin after it expires.
+    /// Time at which this gateway may use the amount again: the expiry of the lease plus the clock error margin.
     returns_at: Nanos,
 }
 
-/// Part of another gateway's share that this one may use.
+/// Part of another gateway's share, leased to this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     amount: u32,
     expires_at: Nanos,
 }
 
-/// Identifies a held lease: its owner, and the owner's number for it.
+/// Identifies a held lease by its owner and the number that the owner assigned.
 type HeldLeaseKey = (GatewayId, u32);
 
-/// What one gateway may send to one host.
+/// One gateway's share of the budget of one host, with the leases that the gateway has granted and holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct BudgetShare {
     gateway: GatewayId,
     share: u32,
-    /// When the gateway may begin to use its share.
+    /// Time from which the gateway may use its share.
     usable_from: Nanos,
     granted: Vec<GrantedLease>,
     held: BTreeMap<HeldLeaseKey, HeldLease>,
@@ -88,9 +90,9 @@
 }
 
 impl BudgetShare {
-    /// The share of a gateway that has restarted. It uses nothing of it before all that its earlier process may have
-    /// leased has expired. `first_number` is the number of its first lease; it has to be random, so that an earlier
-    /// process's leases are not taken for the new ones.
+    /// Creates the share of a gateway that has restarted. None of it is usable until all leases that the previous
+    /// process may have granted have expired. `first_number` is the number of the first lease; it must be random, so
+    /// that leases of the previous process are not mistaken for new ones.
     pub fn after_restart(gateway: GatewayId, share: u32, now: Nanos, first_number: u32) -> Self {
         BudgetShare {
             gateway,
@@ -102,7 +104,8 @@
         }
     }
 
-    /// The share for a host that this gateway learns about after it has run for long: none of it can be leased yet.
+    /// Creates the share for a host that appears while this gateway is running. It is usable at once, because no
+    /// earlier lease of it can exist.
     pub fn for_new_host(gateway: GatewayId, share: u32, now: Nanos, first_number: u32) -> Self {
         BudgetShare {
             usable_from: now,
@@ -110,7 +113,7 @@
         }
     }
 
-    /// The part of the own share that the gateway may use or lease.
+    /// Returns the part of the gateway's own share that it may use or lease to others.
     pub fn available_share(&self, now: Nanos) -> u32 {
         if now < self.usable_from {
             return 0;
@@ -124,7 +127,7 @@
         self.share.saturating_sub(granted)
     }
 
-    /// All that the gateway may use: what is available of its share, and the leases that it holds.
+    /// Returns the total amount that the gateway may use: the available part of its share and the leases that it holds.
     pub fn usable(&self, now: Nanos) -> u32 {
         let held: u32 = self
             .held
@@ -135,8 +138,8 @@
         self.available_share(now) + held
     }
 
-    /// Grants a lease, and stops to use its amount here. Returns `None` if so much is not available, the duration is out
-    /// of bounds, or there are too many leases.
+    /// Grants a lease, whose amount this gateway does not use until the lease has expired. Returns `None` if the holder
+    /// is this gateway, the amount is 0 or not available, the duration is out of bounds, or there are too many leases.
     pub fn grant(
         &mut self,
         now: Nanos,
@@ -170,11 +173,11 @@
         Some(lease)
     }
 
-    /// Accepts a lease from a gateway whose address has been checked.
+    /// Accepts a lease from another gateway. The caller has verified the sender's address.
     ///
     /// # Errors
     ///
-    /// The lease is rejected, for the reason given.
+    /// Returns the reason if the lease is rejected.
     pub fn accept(
         &mut self,
         now: Nanos,
@@ -194,7 +197,7 @@
         if self.held.contains_key(&(owner, lease.number)) {
             return Err(LeaseRejected::Duplicate);
         }
-        // Whatever a sender claims, it owns no more than its share, which is as large as this gateway's.
+        // All gateways have shares of equal size, so that no sender can lease out more than this gateway's own share.
         let total = self.held_from(owner).saturating_add(lease.amount);
         if lease.amount == 0 || total > self.share {
             return Err(LeaseRejected::InvalidAmount);
@@ -210,7 +213,7 @@
         Ok(())
     }
 
-    /// The sum of the leases that are held from an owner.
+    /// Returns the sum of the amounts that this gateway holds from an owner.
     fn held_from(&self, owner: GatewayId) -> u32 {
         self.held
             .range((owner, 0)..=(owner, u32::MAX))
--- a/crates/retry-storm/src/detector.rs
+++ b/crates/retry-storm/src/detector.rs
@@ -1,45 +1,46 @@
-//! Detection of a retry storm, for one set or for all sets, from the requests that arrive and what becomes of them.
+//! Detection of a retry storm, in one group or in all groups together, from the requests and connects that arrive.
 //!
-//! The counts decay continuously. A storm starts above one threshold and ends below a lower one that has to hold for some
-//! time, so that a rate between the two changes nothing.
+//! The counts decay continuously. A storm starts when the fraction of retries reaches a threshold, and ends when it has
+//! been below a lower threshold for some time. The gap between the thresholds prevents storms that start and end in
+//! quick succession.
 
 use crate::decaying_count::DecayingCount;
 use crate::{Nanos, SECOND};
 
-/// A storm starts when retries are at least this part of all requests.
+/// Fraction of retries among all requests at which a storm starts.
 const START_FRACTION: f64 = 0.2;
-/// A storm ends when retries are less than this part of all requests for [`CALM_DURATION`].
+/// Fraction of retries among all requests below which a storm ends, once [`CALM_DURATION`] has passed.
 const END_FRACTION: f64 = 0.07;
-/// How long retries have to stay below [`END_FRACTION`] before a storm ends.
+/// Time for which the fraction of retries must stay below [`END_FRACTION`] before a storm ends.
 const CALM_DURATION: Nanos = 2 * SECOND;
-/// Fewer requests than this, as a decayed count, are too few to judge.
+/// Minimum decayed count of requests for which a fraction of retries is computed.
 const MIN_REQUESTS: f64 = 8.0;
-/// Retries, as a part of all requests, at which a storm has its full strength.
+/// Fraction of retries among all requests at which a storm has a strength of 1.
 const FULL_STRENGTH_FRACTION: f64 = 0.6;
-/// The least strength of a storm that has not ended.
+/// Minimum strength of a storm that has not ended.
 const MIN_STRENGTH: f64 = 0.05;
-/// A set whose latency is this many times its usual latency counts as slowed down.
+/// Ratio of the current to the usual latency from which a group counts as slowed down.
 const SLOWDOWN_RATIO: f64 = 1.6;
-/// For this long after a gateway's start, retries may follow answers that clients got before the start.
+/// Time after a gateway's start during which clients may still retry because of answers from before the start.
 const RESTART_DURATION: Nanos = 3 * SECOND;
 
-/// Why clients retry, as far as it can be known. A later cause is stronger evidence than an earlier one.
+/// The inferred reason why clients retry. The variants are ordered by the strength of their evidence, weakest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StormCause {
-    /// There is no evidence.
+    /// There is no evidence for any other cause.
     Unknown,
-    /// This gateway has just started, and receives retries of requests that it never saw.
+    /// This gateway has just started, and receives retries of requests that were sent before its start.
     Restart,
-    /// All members of the set are slower than usual.
+    /// The members of the group are slower than usual.
     Slowdown,
-    /// Members have returned with cold caches.
+    /// Members have returned to service and are in slow start, with cold caches.
     ColdReturn,
-    /// There is no primary, or it does not answer.
+    /// The group has no primary, or the primary does not answer.
     SilentPrimary,
 }
 
 impl StormCause {
-    /// The cause's name in the log and on the console.
+    /// Returns the name of the cause in the log and on the console.
     pub fn name(self) -> &'static str {
         match self {
             StormCause::Unknown => "unknown",
@@ -51,39 +52,39 @@
     }
 }
 
-/// The state of a set, from which the cause of a storm is inferred.
+/// The state of a group, from which the cause of a storm is inferred.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SetStatus {
-    /// The set has no primary that answers.
+    /// Whether the group has no primary that answers.
     pub primary_is_silent: bool,
-    /// The number of members that have started and are not warm yet.
+    /// Number of members in slow start.
     pub cold_members: u32,
-    /// The members' latency in relation to their usual latency.
+    /// Ratio of the members' current latency to their usual latency.
     pub latency_ratio: f64,
-    /// Time since this gateway's start.
+    /// Time since this gateway started.
     pub uptime: Nanos,
 }
 
-/// A change of a storm. Each change is returned once.
+/// A change in the state of a storm. [`StormDetector::evaluate`] returns each change once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StormChange {
     /// A storm has started.
     Started {
-        /// Its cause.
+        /// The inferred cause.
         cause: StormCause,
-        /// Its strength from 0 to 1.
+        /// Strength of the storm, from 0 to 1.
         strength: f64,
     },
-    /// The storm continues for another cause.
+    /// Stronger evidence for another cause was found while the storm continues.
     CauseChanged {
         /// The new cause.
         cause: StormCause,
     },
     /// The storm has ended.
     Ended {
-        /// How long it lasted.
+        /// Time from the start to the end of the storm.
         duration: Nanos,
-        /// Its highest strength.
+        /// Highest strength during the storm.
         peak_strength: f64,
     },
 }
@@ -93,7 +94,7 @@
     started_at: Nanos,
     cause: StormCause,
     peak_strength: f64,
-    /// Since when retries have been below [`END_FRACTION`].
+    /// Time since which the fraction of retries has been below [`END_FRACTION`]; `None` while it is not.
     calm_since: Option<Nanos>,
 }
 
@@ -102,20 +103,20 @@
 pub enum RequestKind {
     /// A first attempt.
     First,
-    /// A retry, which the client has marked or the gateway has recognised.
+    /// A retry, either marked by the client or recognised by the gateway.
     Retry,
 }
 
-/// Whether a request came at the time that its client was given with a rejection.
+/// Whether a request arrived before the retry time that an earlier rejection gave to its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// At that time or later, or the client was given none.
+    /// The request arrived at the retry time or later, or its client was given no retry time.
     OnTime,
-    /// Before that time.
+    /// The request arrived before the retry time.
     Early,
 }
 
-/// Detects a storm of one set, or of all sets.
+/// Detects a retry storm in one group, or in all groups together.
 #[derive(Clone, Debug, Default)]
 pub struct StormDetector {
     first_attempts: DecayingCount,
@@ -126,7 +127,7 @@
 }
 
 impl StormDetector {
-    /// Counts a request.
+    /// Counts a request that arrived.
     pub fn record_request(&mut self, now: Nanos, kind: RequestKind, arrival: Arrival) {
         match kind {
             RequestKind::First => self.first_attempts.add(now, 1.0),
@@ -137,30 +138,30 @@
         }
     }
 
-    /// Counts a client's connect.
+    /// Counts a new client connection.
     pub fn record_connect(&mut self, now: Nanos) {
         self.connects.add(now, 1.0);
     }
 
-    /// Recent retries as a part of all requests, or `None` if there were too few requests to judge.
+    /// Returns the recent fraction of retries among all requests, or `None` if there were fewer than [`MIN_REQUESTS`].
     pub fn retry_fraction(&self, now: Nanos) -> Option<f64> {
         let retries = self.retries.value_at(now);
         let requests = self.first_attempts.value_at(now) + retries;
         (requests >= MIN_REQUESTS).then(|| retries / requests)
     }
 
-    /// Recent connects for each request.
+    /// Returns the ratio of recent client connections to recent requests.
     pub fn connects_per_request(&self, now: Nanos) -> f64 {
         let requests = self.first_attempts.value_at(now) + self.retries.value_at(now);
         self.connects.value_at(now) / requests.max(1.0)
     }
 
-    /// Recent early arrivals as a part of the retries.
+    /// Returns the ratio of recent early arrivals to recent retries.
     pub fn early_fraction(&self, now: Nanos) -> f64 {
         self.early_arrivals.value_at(now) / self.retries.value_at(now).max(1.0)
     }
 
-    /// The storm's strength from 0 for no storm to 1.
+    /// Returns the strength of the storm from 0 to 1; 0 if there is no storm.
     pub fn strength(&self, now: Nanos) -> f64 {
         match (&self.storm, self.retry_fraction(now)) {
             (Some(_), Some(fraction)) => {
@@ -171,22 +172,23 @@
         }
     }
 
-    /// Whether there is a storm.
+    /// Returns whether a storm has started and not ended.
     pub fn is_storm(&self) -> bool {
         self.storm.is_some()
     }
 
-    /// The cause of the storm, if there is one.
+    /// Returns the cause of the storm, or `None` if there is no storm.
     pub fn cause(&self) -> Option<StormCause> {
         self.storm.map(|storm| storm.cause)
     }
 
-    /// The time at which the storm started, if there is one.
+    /// Returns the time at which the storm started, or `None` if there is no storm.
     pub fn started_at(&self) -> Option<Nanos> {
         self.storm.map(|storm| storm.started_at)
     }
 
-    /// Evaluates the counts and returns what has changed.
+    /// Updates the state of the storm from the counts and the group's status. Returns the change, or `None` if the
+    /// state is the same as before.
     pub fn evaluate(&mut self, now: Nanos, status: &SetStatus) -> Option<StormChange> {
         let fraction = self.retry_fraction(now);
         let strength = fraction.map_or(0.0, |fraction| {
@@ -212,7 +214,8 @@
             self.storm = None;
             return Some(change);
         }
-        // A cause is kept until there is stronger evidence: a primary that is back has left cold members behind.
+        // The cause is only replaced on stronger evidence. Otherwise a storm that a missing primary caused would change
+        // its cause when the primary returns, because members are then in slow start.
         if cause > storm.cause {
             storm.cause = cause;
             return Some(StormChange::CauseChanged { cause });
@@ -222,8 +225,8 @@
 }
 
 impl Storm {
-    /// Whether retries have been below [`END_FRACTION`] for [`CALM_DURATION`]. Too few requests to judge count as no
-    /// retries.
+    /// Returns whether the fraction of retries has been below [`END_FRACTION`] for [`CALM_DURATION`]. `None` (too few
+    /// requests) counts as a fraction of 0.
     fn has_ended(&mut self, now: Nanos, retry_fraction: Option<f64>) -> bool {
         if retry_fraction.unwrap_or(0.0) >= END_FRACTION {
             self.calm_since = None;
--- a/crates/retry-storm/src/lib.rs
+++ b/crates/retry-storm/src/lib.rs
@@ -1,9 +1,9 @@
-//! Retry storms: detection, retry budgets, scheduled retries for rejected clients, and leases of a recovering host's
-//! budget. `docs/storms.md` compares the alternatives.
+//! Handling of retry storms: detection, retry budgets, a retry schedule for rejected clients, and leases of a
+//! recovering host's budget. `docs/storms.md` compares the alternatives.
 //!
-//! The package does no I/O and has no clock and no randomness: the caller passes the time, and random numbers between
-//! 0 and 1. It remembers retries, reservations and leases. Which member gets a request and what is rejected is decided by
-//! the routing policy.
+//! The package does no I/O, reads no clock and generates no random numbers: the caller passes the time, and random
+//! numbers between 0 and 1. Its state consists of counts of retries, reservations and leases. The routing policy
+//! decides which member gets a request and which requests are rejected.
 
 pub mod budget_lease;
 pub mod decaying_count;
--- a/crates/retry-storm/src/recovery_schedule.rs
+++ b/crates/retry-storm/src/recovery_schedule.rs
@@ -1,67 +1,68 @@
-//! A schedule of retries: each rejected client is given a time at which there is capacity for its request, so that the
-//! work scheduled for any time never exceeds the capacity.
+//! A schedule of retries: each rejected client is given a retry time at which capacity is reserved for its request, so
+//! that the work scheduled for any time does not exceed the capacity.
 //!
-//! A schedule serves one set. Time is divided into slots. Each slot has room for the work that the set can do in it beyond
-//! its usual load. Work is measured in nanoseconds on a core, so that a long read takes the room of many short ones.
+//! A schedule serves one group. Time is divided into slots. The capacity of a slot is the work that the group can do in
+//! it in addition to its usual load. Work is measured in nanoseconds of core time, so that a long read takes as much
+//! capacity as many short ones.
 
 use crate::{Nanos, MILLISECOND};
 use std::collections::{HashMap, VecDeque};
 
-/// Length of a slot. Shorter slots would not spread the retries better, as clients wait in whole milliseconds and are late
-/// by a few.
+/// Length of a slot. Shorter slots would not spread the retries better, because clients wait for whole milliseconds and
+/// retry a few milliseconds late.
 pub const SLOT_LENGTH: Nanos = 20 * MILLISECOND;
-/// Largest number of reservations that are remembered by their origin. Without a bound, a flood of origins would fill the
+/// Maximum number of retry times that are kept by origin. Without a bound, requests of many origins would exhaust the
 /// memory.
 const MAX_RESERVATIONS: usize = 4096;
-/// The draw is kept below 1, so that the time stays within its slot.
+/// Upper bound of [`Rejection::draw`]. It is below 1, so that the retry time lies within its slot.
 const MAX_DRAW: f64 = 0.999;
 
-/// Who is rejected: the same value for all attempts of one request, as far as that can be known.
+/// Identifies a rejected request: the same value for all attempts of one request, as far as these can be recognised.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Origin(pub u64);
 
-/// How the time of a retry came about.
+/// How the time of a retry was determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReservationKind {
-    /// Capacity was reserved for it now.
+    /// Capacity was reserved by this call.
     New,
-    /// Capacity was reserved for it earlier, and the client has come too early.
+    /// Capacity was reserved for the origin by an earlier call, and the client retried before its retry time.
     Existing,
-    /// There is no capacity within the horizon. The time is the end of the horizon, and nothing was reserved.
+    /// No capacity is left within the horizon. The retry time is the end of the horizon, and nothing was reserved.
     BeyondHorizon,
 }
 
-/// When a rejected client shall retry.
+/// The retry time that a rejected client is given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// The time of the retry.
+    /// Time at which the client is to retry.
     pub retry_at: Nanos,
-    /// How this time came about.
+    /// How this time was determined.
     pub kind: ReservationKind,
 }
 
 /// A rejected request.
 #[derive(Clone, Copy, Debug)]
 pub struct Rejection {
-    /// Who sent it.
+    /// Identifies the request across its attempts.
     pub origin: Origin,
-    /// The work that it takes, in nanoseconds on a core.
+    /// Work that the request takes, in nanoseconds of core time.
     pub work: Nanos,
-    /// The earliest time at which it may be retried.
+    /// Earliest time at which the request may be retried.
     pub not_before: Nanos,
-    /// A random number from 0 to 1 that chooses the time within a slot.
+    /// Random number from 0 to 1 that determines the retry time within its slot.
     pub draw: f64,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
-    /// The work that there is room for.
+    /// Work that the slot can take, in nanoseconds of core time.
     capacity: f64,
-    /// The work that is reserved.
+    /// Work that is reserved, in nanoseconds of core time.
     reserved: f64,
 }
 
-/// A run of slots, each of which has room for the same part of a request's work.
+/// Consecutive slots, each of which takes an equal part of a request's work.
 struct SlotRun {
     first: usize,
     count: usize,
@@ -71,18 +72,19 @@
 /// A schedule of retries.
 #[derive(Clone, Debug)]
 pub struct RecoverySchedule {
-    /// The number of the first slot, counted from the clock's zero.
+    /// Number of the first slot; slot 0 starts at time 0 of the clock.
     first_slot: i64,
     slots: VecDeque<Slot>,
-    /// Cores that are free beyond the usual load.
+    /// Number of cores that the usual load leaves free.
     free_cores: f64,
     retry_times: HashMap<Origin, Nanos>,
-    /// The same times in ascending order, so that they can be forgotten.
+    /// Retry times in ascending order, for the removal of those that have passed. An entry may outlive the one in
+    /// `retry_times`.
     expiry_queue: VecDeque<(Nanos, Origin)>,
 }
 
 impl RecoverySchedule {
-    /// An empty schedule without capacity. `horizon` is the longest delay that clients accept.
+    /// Creates an empty schedule without capacity. `horizon` is the maximum delay that clients accept.
     pub fn new(horizon: Nanos) -> Self {
         let slot_count = (horizon / SLOT_LENGTH).max(1) as usize;
         RecoverySchedule {
@@ -94,8 +96,8 @@
         }
     }
 
-    /// Sets the number of cores that are free from now on beyond the usual load. Values that are negative or not finite
-    /// count as 0. Reservations are kept, but a slot that is full by the new capacity accepts no more.
+    /// Sets the number of cores that the usual load leaves free from now on. Negative and non-finite values count as 0.
+    /// Existing reservations are kept, but a slot whose reservations reach the new capacity accepts no more.
     pub fn set_free_cores(&mut self, now: Nanos, free_cores: f64) {
         self.advance(now);
         self.free_cores = if free_cores.is_finite() {
@@ -109,13 +111,13 @@
         }
     }
 
-    /// The work that is reserved from now on, in nanoseconds on a core.
+    /// Returns the work that is reserved in all slots of the schedule, in nanoseconds of core time.
     pub fn reserved_work(&self) -> f64 {
         self.slots.iter().map(|slot| slot.reserved).sum()
     }
 
-    /// The most by which the reservations of a slot exceed its present capacity, in nanoseconds on a core. This is 0 unless
-    /// the capacity has been reduced since.
+    /// Returns the largest amount by which the reservations of a slot exceed its present capacity, in nanoseconds of
+    /// core time. It is 0 unless the capacity was reduced after the reservations were made.
     pub fn max_overcommitment(&self) -> f64 {
         self.slots
             .iter()
@@ -123,10 +125,10 @@
             .fold(0.0, f64::max)
     }
 
-    /// Reserves capacity for a rejected request, and returns when it shall be retried.
+    /// Reserves capacity for a rejected request, and returns the time at which the client is to retry.
     pub fn reserve(&mut self, now: Nanos, rejection: Rejection) -> Reservation {
         self.advance(now);
-        // A client that comes early is given the same time again, and not one before others that wait.
+        // A client that retries early gets the same time again, so that it gains no advantage over clients that wait.
         let existing = self.retry_times.get(&rejection.origin).copied();
         if let Some(retry_at) = existing.filter(|&retry_at| retry_at > now) {
             return Reservation {
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Records that a client has come, and returns whether it is early by more than a slot.
+    /// Records that a request of this origin arrived, and returns whether it is more than one slot length before its
+    /// retry time.
     pub fn record_arrival(&mut self, now: Nanos, origin: Origin) -> bool {
         self.advance(now);
         match self.retry_times.get(&origin) {
@@ -167,13 +170,13 @@
         }
     }
 
-    /// Work that fits in an empty slot.
+    /// Returns the work that fits in an empty slot, in nanoseconds of core time.
     fn slot_capacity(&self) -> f64 {
         self.free_cores * SLOT_LENGTH as f64
     }
 
-    /// The first run of slots with room for this work. Work that is longer than a slot takes several in a row, and its
-    /// client retries in the first of them.
+    /// Finds the first run of slots with capacity for this work. Work that exceeds the capacity of one slot takes
+    /// several consecutive slots, and its client retries in the first of them.
     fn find_room(&self, search_from: usize, work: f64) -> Option<SlotRun> {
         if self.free_cores <= 0.0 {
             return None;
@@ -205,7 +208,8 @@
 
     fn remember(&mut self, origin: Origin, retry_at: Nanos) {
         if self.retry_times.len() >= MAX_RESERVATIONS {
-            // A client that is forgotten gets a new time if it comes early, which is worse for it and for no other.
+            // If the client of a removed entry retries early, it gets a new time. This is a disadvantage for that
+            // client only.
             if let Some((_, oldest)) = self.expiry_queue.pop_front() {
                 self.retry_times.remove(&oldest);
             }
@@ -217,13 +221,13 @@
         self.expiry_queue.insert(index, (retry_at, origin));
     }
 
-    /// Moves the schedule to the present.
+    /// Advances the schedule to the time `now`.
     fn advance(&mut self, now: Nanos) {
         self.replace_past_slots(now);
         self.forget_past_times(now);
     }
 
-    /// Drops slots that are past, and appends as many new ones.
+    /// Removes the slots that have passed, and appends as many empty ones.
     fn replace_past_slots(&mut self, now: Nanos) {
         let present_slot = now / SLOT_LENGTH;
         let past_slots = (present_slot - self.first_slot).max(0);
@@ -240,7 +244,8 @@
         self.first_slot = present_slot;
     }
 
-    /// Forgets times that are past by more than a slot: clients are late by a few milliseconds.
+    /// Removes retry times that passed more than one slot length ago. Later ones are kept, because clients retry a few
+    /// milliseconds late.
     fn forget_past_times(&mut self, now: Nanos) {
         while let Some(&(retry_at, origin)) = self.expiry_queue.front() {
             if retry_at + SLOT_LENGTH >= now {
--- a/crates/retry-storm/src/retry_budget.rs
+++ b/crates/retry-storm/src/retry_budget.rs
@@ -1,12 +1,12 @@
-//! Token budgets for what a gateway does beyond first attempts: retries, hedged requests and connects.
+//! Token budgets that limit the load in addition to first attempts: retries, hedged requests and connects.
 //!
-//! First attempts deposit tokens. In a storm they deposit less, so that everything else gives way, and what is worth
-//! little gives way first.
+//! First attempts deposit tokens, and the rest of the load withdraws them. In a storm, first attempts deposit less and
+//! part of the tokens is reserved for requests of high worth, so that the load of low worth is rejected first.
 
-/// The part of a budget that a storm of full strength keeps for requests of the highest worth.
+/// Fraction of the capacity that is reserved for requests of the highest worth in a storm of strength 1.
 const RESERVED_FRACTION: f64 = 0.5;
 
-/// A token budget.
+/// A token budget with a limited capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     deposit_per_attempt: f64,
@@ -15,8 +15,8 @@
 }
 
 impl RetryBudget {
-    /// A full budget. `deposit_per_attempt` is what a first attempt deposits, `capacity` the most that is saved. Values
-    /// that are negative or not finite count as 0.
+    /// Creates a full budget. `deposit_per_attempt` is the number of tokens that a first attempt deposits outside a
+    /// storm, `capacity` the maximum number of tokens. Negative and non-finite values count as 0.
     pub fn new(deposit_per_attempt: f64, capacity: f64) -> Self {
         let capacity = finite_or_zero(capacity);
         RetryBudget {
@@ -26,19 +26,21 @@
         }
     }
 
-    /// The tokens that are left.
+    /// Returns the number of tokens in the budget.
     pub fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// Deposits tokens for a first attempt. `storm_strength` is from 0 for no storm to 1.
+    /// Deposits tokens for a first attempt. `storm_strength` ranges from 0 (no storm) to 1, at which nothing is
+    /// deposited.
     pub fn deposit(&mut self, storm_strength: f64) {
         let fraction = 1.0 - storm_strength.clamp(0.0, 1.0);
         self.tokens = (self.tokens + self.deposit_per_attempt * fraction).min(self.capacity);
     }
 
-    /// Withdraws tokens if there are enough, and returns whether it did. `worth` is from 0 to 1, in relation to the
-    /// requests of the highest worth. In a storm the last tokens are reserved for what is worth more.
+    /// Withdraws `cost` tokens if there are enough, and returns whether it did. `worth` is relative to the requests of
+    /// the highest worth, from 0 to 1. In a storm, a reserve that grows with the strength of the storm must remain; it
+    /// is smaller for a higher worth, and 0 for a worth of 1.
     pub fn try_withdraw(&mut self, cost: f64, worth: f64, storm_strength: f64) -> bool {
         if !cost.is_finite() || cost < 0.0 {
             return false;
--- a/crates/retry-storm/tests/budget_lease_model.rs
+++ b/crates/retry-storm/tests/budget_lease_model.rs
@@ -1,5 +1,6 @@
-//! Leases of a recovering host's budget, checked exhaustively at small sizes: every order of clock ticks, leases, messages
-//! that arrive late, twice or never, and restarts. What all gateways together may send never exceeds the budget.
+//! Model check of the leases of a recovering host's budget, exhaustive at small sizes: every order of clock ticks,
+//! grants, restarts, and messages that arrive late, twice or never. The amounts that all gateways may send never add up
+//! to more than the budget.
 
 use irisrouter_retry_storm::budget_lease::{
     BudgetShare, GatewayId, Lease, CLOCK_ERROR_MARGIN, MAX_LEASE_DURATION,
@@ -9,19 +10,20 @@
 
 /// The property that must always hold.
 const WITHIN_BUDGET: &str = "the sum stays within the budget";
-/// The time at which the check starts.
+/// Time on the clock in the initial state.
 const START: Nanos = 10_000 * MILLISECOND;
 /// The share of each gateway.
 const SHARE: u32 = 2;
-/// Largest number of states that are explored. A check that reaches it fails, since it is not exhaustive.
+/// Maximum number of states that are explored. A check that reaches it fails, because it is not exhaustive.
 const MAX_STATES: usize = 3_000_000;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
     now: Nanos,
     gateways: Vec<BudgetShare>,
-    /// Messages in flight: leases with their owners. A message stays after it has arrived, as it may arrive again, late or
-    /// never, so that a loss needs no step of its own. Expired leases are dropped, as every gateway rejects them.
+    /// Messages in flight: leases with their owners. A message is kept after its delivery, because it may be delivered
+    /// again. A lost message is one that is never delivered, so that loss needs no action of its own. Expired leases
+    /// are removed, because every gateway rejects them.
     messages: Vec<(GatewayId, Lease)>,
     restarts: u8,
     leases: u8,
@@ -44,11 +46,11 @@
     gateway_count: u16,
     /// Length of a clock tick.
     tick: Nanos,
-    /// How long the check runs.
+    /// Time on the clock from the initial state to the last tick.
     duration: Nanos,
-    /// Largest number of leases.
+    /// Maximum number of leases that are granted.
     max_leases: u8,
-    /// A planted fault that the check has to find: a restarted gateway uses its share at once.
+    /// A deliberate fault that the check must find: a restarted gateway uses its share at once.
     restart_without_waiting: bool,
 }
 
@@ -57,7 +59,7 @@
         &mut self.gateways[usize::from(gateway.0)]
     }
 
-    /// What all gateways together may send.
+    /// Returns the total amount that all gateways may send.
     fn total_usable(&self) -> u32 {
         self.gateways
             .iter()
@@ -75,7 +77,8 @@
         SHARE * u32::from(self.gateway_count)
     }
 
-    /// All leases that an owner may grant: to each other gateway, long and short, of part or all of its share.
+    /// Appends all leases that an owner may grant: to each other gateway, of two durations, of part or all of its
+    /// share.
     fn push_grants(&self, owner: GatewayId, actions: &mut Vec<Action>) {
         for holder in self.gateway_ids().filter(|&holder| holder != owner) {
             for duration in [MAX_LEASE_DURATION, MAX_LEASE_DURATION / 2] {
@@ -149,7 +152,7 @@
                 state.gateway(lease.holder).accept(now, owner, lease).ok()?;
             }
             Action::Restart(gateway) => {
-                // It starts at once without memory, and its lease numbers may be those of before.
+                // The gateway restarts without its earlier state, and reuses lease numbers of its previous process.
                 let restart = if self.restart_without_waiting {
                     BudgetShare::for_new_host
                 } else {
@@ -183,7 +186,7 @@
     }
 }
 
-/// Explores all states. Returns how many there are, and whether the budget is exceeded in any.
+/// Explores all states. Returns the number of states, and whether the budget is exceeded in any of them.
 fn check(fleet: Fleet) -> (usize, bool) {
     let checker = fleet
         .checker()
--- a/crates/retry-storm/tests/unit/detector.rs
+++ b/crates/retry-storm/tests/unit/detector.rs
@@ -11,8 +11,8 @@
     }
 }
 
-/// Sends 200 requests a second for a duration, of which each `retry_interval`th is a retry (0 for none), and evaluates
-/// every 50 ms. Returns the changes with their times.
+/// Records 200 requests per second for a duration, every `retry_interval`-th of which is a retry (0 for no retries),
+/// and evaluates the detector every 50 ms. Returns the changes with their times.
 fn send_requests(
     detector: &mut StormDetector,
     from: Nanos,
--- a/crates/retry-storm/tests/unit/recovery_schedule.rs
+++ b/crates/retry-storm/tests/unit/recovery_schedule.rs
@@ -20,7 +20,7 @@
 fn retries_are_reserved_in_order_and_spread_over_slots() {
     let mut schedule = RecoverySchedule::new(SECOND);
     schedule.set_free_cores(0, 2.0);
-    // Two cores: a slot of 20 ms takes 40 ms of work, four requests of 10 ms.
+    // With two cores, a slot of 20 ms has a capacity of 40 ms of work, which is four requests of 10 ms.
     let reservations: Vec<Reservation> = (0..12)
         .map(|i| schedule.reserve(0, rejection(i, 10 * MILLISECOND, 0, 0.5)))
         .collect();
@@ -120,8 +120,8 @@
 }
 
 proptest! {
-    /// Whatever requests come, and however the capacity changes: no slot is reserved beyond its capacity at that time,
-    /// retries are ahead and within the horizon, and memory is bounded.
+    /// For arbitrary requests and changes of capacity: no reservation exceeds the capacity of its slot at that time,
+    /// retry times are in the future and within the horizon, and the number of entries is bounded.
     #[test]
     fn reservations_never_exceed_capacity(steps in proptest::collection::vec(
         (0..30i64, 0..400u64, 1..200i64, 0..1500i64, 0.0..1.0f64, proptest::option::of(0.0..3.0f64)), 1..300))
