--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -23,7 +23,7 @@
 ///
 /// Returns [`Error::Unreadable`] or [`Error::Template`].
 pub fn parameters(file: &Path) -> Result<Vec<String>, Error> {
-    on_evaluation_thread(file, |file| {
+    run_on_evaluation_thread(file, |file| {
         let template = Template::evaluate(file)?;
         Ok(template.declared_parameters())
     })
@@ -39,14 +39,14 @@
     variables: &Variables,
 ) -> Result<T, Error> {
     let variables = variables.clone();
-    let json = on_evaluation_thread(file, move |file| {
+    let json = run_on_evaluation_thread(file, move |file| {
         Template::evaluate(file)?.apply(&variables)
     })?;
     read(file, &json)
 }
 
 /// Checks the type and the size of the file, and runs an evaluation on a thread with a stack of [`STACK_SIZE`].
-fn on_evaluation_thread<T: Send + 'static>(
+fn run_on_evaluation_thread<T: Send + 'static>(
     file: &Path,
     evaluation: impl FnOnce(&Path) -> Result<T, Error> + Send + 'static,
 ) -> Result<T, Error> {
@@ -108,9 +108,9 @@
         let file = self.file;
         self.set_variables(variables)?;
         let state = self.state;
-        let failed = |error| evaluation_error(file, &state, &error);
-        let value = state.with_tla(self.value).map_err(failed)?;
-        let text = state.manifest(value).map_err(failed)?;
+        let to_error = |error| evaluation_error(file, &state, &error);
+        let value = state.with_tla(self.value).map_err(to_error)?;
+        let text = state.manifest(value).map_err(to_error)?;
         serde_json::from_str(&text)
             .map_err(|error| template_error(file, TemplateError::NoJson(error)))
     }
--- a/crates/config/tests/templates.rs
+++ b/crates/config/tests/templates.rs
@@ -104,25 +104,25 @@
 
 #[test]
 fn recursive_or_broken_template_is_an_error_and_does_not_end_the_process() {
-    let fails = |files: &[(&str, &str)]| match TemplateDirectory::with(files).load(&[]) {
+    let evaluation_trace = |files: &[(&str, &str)]| match TemplateDirectory::with(files).load(&[]) {
         Err(Error::Template {
             source: TemplateError::Evaluation { trace },
             ..
         }) => trace,
         other => panic!("{other:?}"),
     };
-    let looping = fails(&[
+    let import_loop_trace = evaluation_trace(&[
         ("a.jsonnet", "import 'b.jsonnet'"),
         ("b.jsonnet", "import 'a.jsonnet'"),
     ]);
     assert!(
-        looping.contains("recursion") || looping.contains("stack"),
-        "{looping}"
+        import_loop_trace.contains("recursion") || import_loop_trace.contains("stack"),
+        "{import_loop_trace}"
     );
-    let deep = fails(&[("a.jsonnet", "local f(x) = 1 + f(x + 1); {depth_m: f(0)}")]);
+    let deep = evaluation_trace(&[("a.jsonnet", "local f(x) = 1 + f(x + 1); {depth_m: f(0)}")]);
     assert!(deep.contains("stack"), "{deep}");
-    assert!(fails(&[("a.jsonnet", "{depth_m: }")]).contains("a.jsonnet"));
-    assert!(fails(&[("a.jsonnet", "import 'missing.jsonnet'")]).contains("missing"));
+    assert!(evaluation_trace(&[("a.jsonnet", "{depth_m: }")]).contains("a.jsonnet"));
+    assert!(evaluation_trace(&[("a.jsonnet", "import 'missing.jsonnet'")]).contains("missing"));
     let missing = load::<Pond>(Path::new("no/such/file"), &Variables::none());
     assert!(
         matches!(
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn variable_that_is_no_pair_is_rejected() {
+fn variable_that_is_not_a_pair_is_rejected() {
     let mut parsed = Variables::none();
     assert!(
         parsed.add("gateways").is_err()
@@ -164,7 +164,7 @@
         file: file(),
         source,
     };
-    let of_template = |source| Error::Template {
+    let in_template = |source| Error::Template {
         file: file(),
         source,
     };
@@ -174,11 +174,11 @@
         unreadable(ReadError::System(io::Error::other("gone"))),
         unreadable(ReadError::NoFileOfAllowedSize),
         unreadable(ReadError::Thread(io::Error::other("none left"))),
-        of_template(TemplateError::Evaluation {
+        in_template(TemplateError::Evaluation {
             trace: "at 1:2\n".into(),
         }),
-        of_template(TemplateError::NoJson(no_json)),
-        of_template(TemplateError::Panicked),
+        in_template(TemplateError::NoJson(no_json)),
+        in_template(TemplateError::Panicked),
         Error::Variable {
             name: "x".into(),
             declared: declared(&[]),
--- a/crates/endpoint-watch/src/watcher.rs
+++ b/crates/endpoint-watch/src/watcher.rs
@@ -37,7 +37,7 @@
     received: Option<ReceivedHeartbeat>,
     sent: Option<SentHeartbeat>,
     /// Whether this gateway's last call to the service was answered.
-    healthy: bool,
+    last_call_answered: bool,
 }
 
 impl EndpointWatcher {
@@ -48,7 +48,7 @@
             settings,
             received: None,
             sent: None,
-            healthy: false,
+            last_call_answered: false,
         }
     }
 
@@ -78,7 +78,7 @@
     /// Records whether the service answered this gateway's last call. A watcher that can't reach the service sends no
     /// heartbeats, because they would keep all other gateways from watching the service themselves.
     pub fn record_call(&mut self, answered: bool) {
-        self.healthy = answered;
+        self.last_call_answered = answered;
     }
 
     /// Returns the heartbeat that this gateway is to send now, or `None` if none is due. A gateway sends heartbeats
@@ -90,17 +90,17 @@
         local: LocalState,
         hosts_out_of_service: impl FnOnce() -> Vec<HostId>,
     ) -> Option<Heartbeat> {
-        if !self.healthy {
+        if !self.last_call_answered {
             return None;
         }
         let epoch = local.fencing_token?;
         let revision = local.revision?;
         let interval = self.settings.heartbeat_interval;
-        let announced = self
+        let already_announced = self
             .sent
             .as_ref()
             .is_some_and(|sent| sent.revision == revision && now < sent.sent_at + interval);
-        if announced {
+        if already_announced {
             return None;
         }
         self.sent = Some(SentHeartbeat {
@@ -123,7 +123,7 @@
         }
         let interval = self.settings.heartbeat_interval;
         match &self.sent {
-            Some(sent) if self.healthy => sent.sent_at + interval,
+            Some(sent) if self.last_call_answered => sent.sent_at + interval,
             _ => now + interval,
         }
     }
--- a/crates/endpoint-watch/tests/golden.rs
+++ b/crates/endpoint-watch/tests/golden.rs
@@ -41,7 +41,7 @@
     }
 }
 
-fn with_least_numbers() -> Heartbeat {
+fn with_smallest_numbers() -> Heartbeat {
     Heartbeat {
         epoch: Epoch(1),
         revision: Revision(0),
@@ -49,7 +49,7 @@
     }
 }
 
-fn of_nobody() -> Heartbeat {
+fn with_epoch_0() -> Heartbeat {
     Heartbeat {
         epoch: Epoch(0),
         ..with_two_hosts()
@@ -68,22 +68,22 @@
 
 /// Asserts that a heartbeat is encoded as the expected bytes, and that these are decoded as `read`.
 #[track_caller]
-fn pins_as(heartbeat: &Heartbeat, expected: &str, read: &Heartbeat) {
+fn assert_encoding_and_decoded(heartbeat: &Heartbeat, expected: &str, read: &Heartbeat) {
     let bytes = encode(heartbeat);
     assert_eq!(hex(&bytes), literal(expected));
     assert_eq!(decode(&bytes).as_ref(), Ok(read));
 }
 
 #[track_caller]
-fn pins(heartbeat: &Heartbeat, expected: &str) {
-    pins_as(heartbeat, expected, heartbeat);
+fn assert_encoding(heartbeat: &Heartbeat, expected: &str) {
+    assert_encoding_and_decoded(heartbeat, expected, heartbeat);
 }
 
 #[track_caller]
-fn refuses(bytes: &[u8], expected: WireError, text: &str) {
-    let why = decode(bytes).expect_err("it is refused");
+fn assert_rejected(bytes: &[u8], expected: WireError, text: &str) {
+    let error = decode(bytes).expect_err("a decoding error");
     assert_eq!(
-        (why, why.to_string().as_str()),
+        (error, error.to_string().as_str()),
         (expected, text),
         "{}",
         hex(bytes)
@@ -102,7 +102,7 @@
 
 #[test]
 fn heartbeat_with_hosts_out_of_service_keeps_its_bytes() {
-    pins(
+    assert_encoding(
         &with_two_hosts(),
         "f1 0102030405060708 1112131415161718 02 21222324 00fedcba",
     );
@@ -110,24 +110,24 @@
 
 #[test]
 fn heartbeat_without_hosts_out_of_service_keeps_its_bytes() {
-    pins(&heartbeat(&[]), "f1 0102030405060708 1112131415161718 00");
+    assert_encoding(&heartbeat(&[]), "f1 0102030405060708 1112131415161718 00");
 }
 
 #[test]
-fn heartbeat_with_the_largest_and_the_least_numbers_keeps_its_bytes() {
-    pins(
+fn heartbeat_with_the_largest_and_the_smallest_numbers_keeps_its_bytes() {
+    assert_encoding(
         &with_largest_numbers(),
         "f1 ffffffffffffffff ffffffffffffffff 01 ffffffff",
     );
-    pins(
-        &with_least_numbers(),
+    assert_encoding(
+        &with_smallest_numbers(),
         "f1 0000000000000001 0000000000000000 01 00000000",
     );
 }
 
 #[test]
 fn longest_heartbeat_keeps_its_bytes_and_hosts_beyond_it_are_left_out() {
-    pins_as(
+    assert_encoding_and_decoded(
         &with_many_hosts(61),
         "f1 0102030405060708 1112131415161718 3b
         21000000 21000001 21000002 21000003 21000004 21000005 21000006 21000007 21000008 21000009
@@ -143,20 +143,20 @@
 // Rejected datagrams. A heartbeat datagram has no kind field, so that no test covers an unknown kind.
 
 #[test]
-fn empty_datagram_is_refused_as_short() {
-    refuses(&[], WireError::Short, "the datagram ends inside a field");
+fn empty_datagram_is_rejected_as_short() {
+    assert_rejected(&[], WireError::Short, "the datagram ends inside a field");
 }
 
 #[test]
-fn other_first_byte_is_refused_as_another_kind_or_version() {
-    refuses(
+fn other_first_byte_is_rejected_as_another_kind_or_version() {
+    assert_rejected(
         &[0xf2],
         WireError::Version(0xf2),
         "first byte 0xf2 is of another kind or version",
     );
     let mut bytes = encode(&with_two_hosts());
     bytes[0] = 0xe1;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Version(0xe1),
         "first byte 0xe1 is of another kind or version",
@@ -164,13 +164,13 @@
 }
 
 #[test]
-fn heartbeat_under_epoch_0_is_written_and_refused_for_its_value() {
-    let bytes = encode(&of_nobody());
+fn heartbeat_under_epoch_0_is_encoded_and_rejected_for_its_value() {
+    let bytes = encode(&with_epoch_0());
     assert_eq!(
         hex(&bytes),
         literal("f1 0000000000000000 1112131415161718 02 21222324 00fedcba")
     );
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Value("an epoch of nobody"),
         "an epoch of nobody can't be so",
@@ -178,10 +178,10 @@
 }
 
 #[test]
-fn datagram_cut_anywhere_is_refused_as_short() {
+fn truncated_datagram_is_rejected_as_short() {
     let bytes = encode(&with_two_hosts());
     for end in 0..bytes.len() {
-        refuses(
+        assert_rejected(
             &bytes[..end],
             WireError::Short,
             "the datagram ends inside a field",
@@ -190,19 +190,19 @@
 }
 
 #[test]
-fn trailing_bytes_are_refused_as_long() {
+fn trailing_bytes_are_rejected_as_long() {
     let text = "the datagram is longer than what it says";
-    refuses(
+    assert_rejected(
         &[encode(&with_two_hosts()), vec![0]].concat(),
         WireError::Long,
         text,
     );
-    refuses(
+    assert_rejected(
         &[encode(&with_two_hosts()), vec![0; 4]].concat(),
         WireError::Long,
         text,
     );
-    refuses(
+    assert_rejected(
         &[encode(&with_many_hosts(59)), vec![0]].concat(),
         WireError::Long,
         text,
@@ -210,14 +210,14 @@
 }
 
 #[test]
-fn count_other_than_the_hosts_that_follow_is_refused() {
+fn count_other_than_the_hosts_that_follow_is_rejected() {
     let mut bytes = encode(&with_two_hosts());
     for count in [3, 60, 255] {
         bytes[17] = count;
-        refuses(&bytes, WireError::Short, "the datagram ends inside a field");
+        assert_rejected(&bytes, WireError::Short, "the datagram ends inside a field");
     }
     bytes[17] = 1;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Long,
         "the datagram is longer than what it says",
@@ -225,10 +225,10 @@
 }
 
 #[test]
-fn one_host_more_than_fit_is_refused_as_long() {
+fn one_host_too_many_is_rejected_as_long() {
     let mut bytes = [encode(&with_many_hosts(59)), vec![0; 4]].concat();
     bytes[17] = 60;
-    refuses(
+    assert_rejected(
         &bytes,
         WireError::Long,
         "the datagram is longer than what it says",
@@ -244,6 +244,6 @@
 // Numbers on which all gateways agree.
 
 #[test]
-fn task_number_of_the_watch_keeps_its_number() {
+fn task_id_of_the_watch_keeps_its_value() {
     assert_eq!(TASK_ID, TaskId(0x5741_5443_4800_0000));
 }
--- a/crates/endpoint-watch/tests/watch.rs
+++ b/crates/endpoint-watch/tests/watch.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn gateways_without_lease_wait_for_news_and_fetch_it_one_after_another() {
+fn gateways_without_lease_wait_for_a_new_revision_and_fetch_it_one_after_another() {
     let mut watcher = EndpointWatcher::new(SETTINGS);
     let without_list = LocalState {
         revision: None,
@@ -93,7 +93,7 @@
     assert_eq!(
         watcher.decide_poll(at(1_300), at_new_address),
         PollDecision::Fetch,
-        "at a new address, at once"
+        "the full list is fetched at once from a new address"
     );
 }
 
--- a/crates/host-index/src/host_index.rs
+++ b/crates/host-index/src/host_index.rs
@@ -79,31 +79,31 @@
             self.removed.insert(member);
         }
         if state.accepts_requests {
-            let same_id = self.accepting_by_fleet_id.entry(fleet_id).or_default();
-            same_id.push(GroupMember { member, group });
-            let of_group = self.accepting.entry(group).or_default();
-            self.groups_version += u64::from(of_group.is_empty());
-            of_group.insert(member);
+            let accepting_hosts = self.accepting_by_fleet_id.entry(fleet_id).or_default();
+            accepting_hosts.push(GroupMember { member, group });
+            let accepting_in_group = self.accepting.entry(group).or_default();
+            self.groups_version += u64::from(accepting_in_group.is_empty());
+            accepting_in_group.insert(member);
         }
     }
 
     fn remove(&mut self, member: M, state: IndexedState<G>) {
         self.removed.remove(&member);
-        if let Some(same_id) = self.by_fleet_id.get_mut(&state.fleet_id) {
-            same_id.remove(&member);
-            if same_id.is_empty() {
+        if let Some(members) = self.by_fleet_id.get_mut(&state.fleet_id) {
+            members.remove(&member);
+            if members.is_empty() {
                 self.by_fleet_id.remove(&state.fleet_id);
             }
         }
-        if let Some(same_id) = self.accepting_by_fleet_id.get_mut(&state.fleet_id) {
-            same_id.retain(|other| other.member != member);
-            if same_id.is_empty() {
+        if let Some(accepting_hosts) = self.accepting_by_fleet_id.get_mut(&state.fleet_id) {
+            accepting_hosts.retain(|other| other.member != member);
+            if accepting_hosts.is_empty() {
                 self.accepting_by_fleet_id.remove(&state.fleet_id);
             }
         }
-        if let Some(of_group) = self.accepting.get_mut(&state.group) {
-            of_group.remove(&member);
-            if of_group.is_empty() {
+        if let Some(accepting_in_group) = self.accepting.get_mut(&state.group) {
+            accepting_in_group.remove(&member);
+            if accepting_in_group.is_empty() {
                 self.accepting.remove(&state.group);
                 self.groups_version += 1;
             }
--- a/crates/host-index/src/idle_connections.rs
+++ b/crates/host-index/src/idle_connections.rs
@@ -36,8 +36,8 @@
         let sequence = self.next_sequence;
         self.next_sequence += 1;
         self.order.insert(sequence, member);
-        let of_host = self.by_host.entry(member).or_default();
-        of_host.push(IdleConnection {
+        let host_connections = self.by_host.entry(member).or_default();
+        host_connections.push(IdleConnection {
             sequence,
             connection,
         });
@@ -46,33 +46,33 @@
     /// Removes and returns the connection to a host that became idle last among those for which `may_be_used` returns
     /// true.
     pub fn take_last(&mut self, member: M, may_be_used: impl Fn(&C) -> bool) -> Option<C> {
-        let of_host = self.by_host.get(&member)?;
-        let position = of_host
+        let host_connections = self.by_host.get(&member)?;
+        let position = host_connections
             .iter()
             .rposition(|idle| may_be_used(&idle.connection))?;
-        self.take(member, position)
+        self.remove_at(member, position)
     }
 
     /// Removes and returns the connection that has been idle longest, to any host.
     pub fn take_longest_idle(&mut self) -> Option<C> {
         let (_, &member) = self.order.first_key_value()?;
-        self.take(member, 0)
+        self.remove_at(member, 0)
     }
 
     /// Drops the idle connections to a host for which `keep` returns false.
     pub fn retain_of(&mut self, member: M, keep: impl Fn(&C) -> bool) {
-        let Some(of_host) = self.by_host.get_mut(&member) else {
+        let Some(host_connections) = self.by_host.get_mut(&member) else {
             return;
         };
         let order = &mut self.order;
-        of_host.retain(|idle| {
-            let kept = keep(&idle.connection);
-            if !kept {
+        host_connections.retain(|idle| {
+            let retained = keep(&idle.connection);
+            if !retained {
                 order.remove(&idle.sequence);
             }
-            kept
+            retained
         });
-        if of_host.is_empty() {
+        if host_connections.is_empty() {
             self.by_host.remove(&member);
         }
     }
@@ -85,10 +85,10 @@
         }
     }
 
-    fn take(&mut self, member: M, position: usize) -> Option<C> {
-        let of_host = self.by_host.get_mut(&member)?;
-        let idle = of_host.remove(position);
-        if of_host.is_empty() {
+    fn remove_at(&mut self, member: M, position: usize) -> Option<C> {
+        let host_connections = self.by_host.get_mut(&member)?;
+        let idle = host_connections.remove(position);
+        if host_connections.is_empty() {
             self.by_host.remove(&member);
         }
         self.order.remove(&idle.sequence);
--- a/crates/host-index/tests/host_index.rs
+++ b/crates/host-index/tests/host_index.rs
@@ -13,7 +13,7 @@
 type State = IndexedState<i64>;
 
 /// Generates a member and its next state; `None` deletes the member.
-fn change() -> impl Strategy<Value = (u32, Option<State>)> {
+fn member_change() -> impl Strategy<Value = (u32, Option<State>)> {
     let state = (0..FLEET_IDS, 0..GROUPS, any::<bool>(), any::<bool>()).prop_map(
         |(fleet_id, group, accepts_requests, removed)| State {
             fleet_id: HostId(fleet_id),
@@ -26,9 +26,9 @@
 }
 
 /// Asserts that the index returns the same hosts and groups as a scan of all hosts.
-fn check(index: &HostIndex<u32, i64>, hosts: &BTreeMap<u32, State>) {
-    let found = |is_found: &dyn Fn(&State) -> bool| -> Vec<u32> {
-        let hosts = hosts.iter().filter(|(_, state)| is_found(state));
+fn assert_matches_scan(index: &HostIndex<u32, i64>, hosts: &BTreeMap<u32, State>) {
+    let found = |matches: &dyn Fn(&State) -> bool| -> Vec<u32> {
+        let hosts = hosts.iter().filter(|(_, state)| matches(state));
         hosts.map(|(&member, _)| member).collect()
     };
     for group in 0..GROUPS {
@@ -56,7 +56,7 @@
 proptest! {
     #[test]
     fn index_agrees_with_a_walk_over_all_hosts(
-        changes in prop::collection::vec(change(), 1..60),
+        changes in prop::collection::vec(member_change(), 1..60),
     ) {
         let mut index = HostIndex::default();
         let mut hosts = BTreeMap::new();
@@ -68,7 +68,7 @@
                 None => hosts.remove(&member),
             };
             index.replace(member, before, after);
-            check(&index, &hosts);
+            assert_matches_scan(&index, &hosts);
             let unchanged = groups.into_iter().eq(index.groups_in_service());
             prop_assert!(unchanged || version != index.groups_version());
         }
--- a/crates/host-index/tests/idle_connections.rs
+++ b/crates/host-index/tests/idle_connections.rs
@@ -37,12 +37,12 @@
                     list.push((member, number));
                 }
                 Step::Taken { member, may_be_used } => {
-                    let fits = |connection: u32| may_be_used || connection.is_multiple_of(2);
+                    let is_usable = |connection: u32| may_be_used || connection.is_multiple_of(2);
                     let position = list
                         .iter()
-                        .rposition(|&(of, connection)| of == member && fits(connection));
+                        .rposition(|&(of, connection)| of == member && is_usable(connection));
                     let expected = position.map(|position| list.remove(position).1);
-                    let taken = idle.take_last(member, |&connection| fits(connection));
+                    let taken = idle.take_last(member, |&connection| is_usable(connection));
                     prop_assert_eq!(taken, expected);
                 }
                 Step::LongestIdleTaken => {
@@ -55,8 +55,8 @@
                         Some(member) => idle.retain_of(member, keep),
                         None => idle.retain(keep),
                     }
-                    let concerned = |of: u32| member.is_none_or(|member| member == of);
-                    list.retain(|&(of, connection)| !concerned(of) || keep(&connection));
+                    let is_affected = |of: u32| member.is_none_or(|member| member == of);
+                    list.retain(|&(of, connection)| !is_affected(of) || keep(&connection));
                 }
             }
         }
--- a/crates/pg/src/frame.rs
+++ b/crates/pg/src/frame.rs
@@ -58,7 +58,7 @@
 
 /// Iterates over the complete messages at the start of these bytes, up to the first one that is malformed or
 /// incomplete. The range of a body is relative to the start of its own message.
-fn whole_messages(bytes: &[u8]) -> impl Iterator<Item = Frame> + '_ {
+fn complete_messages(bytes: &[u8]) -> impl Iterator<Item = Frame> + '_ {
     let mut rest = bytes;
     std::iter::from_fn(move || {
         let frame = frame(rest).ok().flatten()?;
@@ -70,7 +70,7 @@
 /// Iterates over the bodies of the `Query` messages among the complete messages at the start of these bytes.
 pub fn whole_queries(bytes: &[u8]) -> impl Iterator<Item = &[u8]> + '_ {
     let mut begin = 0;
-    whole_messages(bytes).filter_map(move |frame| {
+    complete_messages(bytes).filter_map(move |frame| {
         let message = &bytes[begin..];
         begin += frame.body.end;
         (frame.tag == tag::QUERY).then(|| &message[frame.body])
@@ -79,5 +79,5 @@
 
 /// Returns the total size of the complete messages at the start of these bytes.
 pub fn whole_messages_size(bytes: &[u8]) -> usize {
-    whole_messages(bytes).map(|frame| frame.body.end).sum()
+    complete_messages(bytes).map(|frame| frame.body.end).sum()
 }
--- a/crates/pg/src/row.rs
+++ b/crates/pg/src/row.rs
@@ -56,11 +56,11 @@
 /// Checks that the body of a `RowDescription` describes one column: its name and 18 bytes of attributes.
 pub(crate) fn check_one_column_description(body: &[u8]) -> Result<(), Malformed> {
     let description = body.strip_prefix(&ONE_COLUMN);
-    let is_whole = description.is_some_and(|description| {
+    let is_one_column = description.is_some_and(|description| {
         let name_length = description.iter().position(|&byte| byte == 0);
         name_length.is_some_and(|name| description.len() == name + 1 + COLUMN_ATTRIBUTES_SIZE)
     });
-    is_whole.then_some(()).ok_or(Malformed(
+    is_one_column.then_some(()).ok_or(Malformed(
         "a description of something other than one column",
     ))
 }
--- a/crates/pg/src/statement.rs
+++ b/crates/pg/src/statement.rs
@@ -4,7 +4,7 @@
 use std::ops::Range;
 
 /// Maximum time that a client may state as its timeout, in milliseconds: one day.
-const MAX_WAIT_MS: f64 = 86_400_000.0;
+const MAX_TIMEOUT_MS: f64 = 86_400_000.0;
 
 /// The fields of the comment at the end of a statement, and the first quoted string of the statement.
 #[derive(Clone, Debug, PartialEq)]
@@ -35,7 +35,7 @@
 struct CommentFields<'a> {
     id: Option<&'a str>,
     class: Option<&'a str>,
-    wait: Option<&'a str>,
+    timeout_text: Option<&'a str>,
     idempotency: Option<&'a str>,
     group: Option<&'a str>,
     after: Option<&'a str>,
@@ -65,7 +65,7 @@
         match name {
             "id" => Some(&mut self.id),
             "c" => Some(&mut self.class),
-            "d" => Some(&mut self.wait),
+            "d" => Some(&mut self.timeout_text),
             "k" => Some(&mut self.idempotency),
             "cluster" => Some(&mut self.group),
             "after" => Some(&mut self.after),
@@ -87,9 +87,11 @@
         .id
         .filter(|id| !id.is_empty())
         .ok_or(Malformed("no id in the comment"))?;
-    let wait = fields.wait.ok_or(Malformed("no d in the comment"))?;
-    let timeout_ms = finite_number(wait)
-        .filter(|timeout_ms| (0.0..=MAX_WAIT_MS).contains(timeout_ms))
+    let timeout_text = fields
+        .timeout_text
+        .ok_or(Malformed("no d in the comment"))?;
+    let timeout_ms = finite_number(timeout_text)
+        .filter(|timeout_ms| (0.0..=MAX_TIMEOUT_MS).contains(timeout_ms))
         .ok_or(Malformed("d is no time in milliseconds"))?;
     let after_ms = fields
         .after
@@ -103,13 +105,13 @@
     Ok(Statement {
         id,
         class,
-        timeout_range: place_within(text, wait),
+        timeout_range: range_within(text, timeout_text),
         timeout_ms,
         group,
         idempotency: fields.idempotency.filter(|key| !key.is_empty()),
         retry: fields.retry == Some("1"),
         after_ms: after_ms.filter(|&position| position > 0.0),
-        session_key: first_quoted(before_comment),
+        session_key: first_quoted_string(before_comment),
     })
 }
 
@@ -137,13 +139,13 @@
 }
 
 /// Returns the range of a part within the bytes that it is a slice of.
-fn place_within(whole: &[u8], part: &str) -> Range<usize> {
+fn range_within(whole: &[u8], part: &str) -> Range<usize> {
     let start = part.as_ptr() as usize - whole.as_ptr() as usize;
     start..start + part.len()
 }
 
 /// Returns the content of the first quoted string of a statement. A doubled quote within it is not unescaped.
-fn first_quoted(text: &[u8]) -> Option<&[u8]> {
+fn first_quoted_string(text: &[u8]) -> Option<&[u8]> {
     let start = text.iter().position(|&byte| byte == b'\'')? + 1;
     let mut end = start;
     loop {
--- a/crates/pg/tests/framing.rs
+++ b/crates/pg/tests/framing.rs
@@ -9,21 +9,21 @@
     /* id=9b1f,c=basket,d=480,cluster=2,after=1767225600123 */";
 
 #[test]
-fn frame_is_returned_only_when_whole_and_within_its_bound() {
+fn frame_is_returned_only_when_complete_and_within_its_bound() {
     let mut bytes = BytesMut::new();
     put_query(&mut bytes, READ_STATEMENT.as_bytes());
-    for cut in 0..bytes.len() {
-        assert_eq!(frame(&bytes[..cut]), Ok(None));
+    for end in 0..bytes.len() {
+        assert_eq!(frame(&bytes[..end]), Ok(None));
     }
-    let whole = frame(&bytes).expect("well-formed").expect("whole");
+    let complete = frame(&bytes).expect("well-formed").expect("complete");
     assert_eq!(
-        (whole.tag, query(&bytes[whole.body])),
+        (complete.tag, query(&bytes[complete.body])),
         (b'Q', Ok(READ_STATEMENT.as_bytes()))
     );
     assert!(frame(b"Q\0\0\0\x03").is_err());
     assert!(
         frame(&[b'Q', 0, 4, 0, 1]).is_err(),
-        "one byte over 256 KiB, told from its head alone"
+        "a length of one byte over 256 KiB is rejected by the header alone"
     );
     assert!(startup(&[0, 0, 0x27, 0x11]).is_err());
 }
@@ -32,13 +32,13 @@
 #[test]
 fn row_is_long_only_when_both_of_its_lengths_agree() {
     let row = |length: usize, columns: u16, value: usize| {
-        let head = [
+        let header = [
             &b"D"[..],
             &(length as u32).to_be_bytes(),
             &columns.to_be_bytes(),
         ]
         .concat();
-        [head, (value as u32).to_be_bytes().to_vec()].concat()
+        [header, (value as u32).to_be_bytes().to_vec()].concat()
     };
     assert_eq!(
         long_row(&row(
@@ -60,12 +60,12 @@
         long_row(&row(MAX_BUFFERED_VALUE_SIZE + 11, 1, MAX_BUFFERED_VALUE_SIZE + 1)[..10]),
         Ok(None)
     );
-    for bad in [
+    for invalid_row in [
         row(MAX_BUFFERED_VALUE_SIZE + 11, 1, MAX_BUFFERED_VALUE_SIZE),
         row(MAX_BUFFERED_VALUE_SIZE + 11, 2, MAX_BUFFERED_VALUE_SIZE + 1),
         row(1 << 30, 1, (1 << 30) - 10),
     ] {
-        assert!(long_row(&bad).is_err());
+        assert!(long_row(&invalid_row).is_err());
     }
     assert!(
         may_begin_long_row(&row(MAX_BUFFERED_VALUE_SIZE + 11, 1, MAX_BUFFERED_VALUE_SIZE + 1)[..6])
--- a/crates/pg/tests/reply.rs
+++ b/crates/pg/tests/reply.rs
@@ -3,12 +3,12 @@
 use irisrouter_pg::{HostRole, Reply};
 
 #[test]
-fn reply_is_served_only_when_whole_and_without_an_error() {
+fn reply_is_served_only_when_complete_and_without_an_error() {
     let row = [0, 1, 0, 0, 0, 1, b'x'];
     let column = [&[0, 1][..], b"payload\0", &[0; 18]].concat();
     assert!(
         Reply::default().read_message(b'D', &row).is_err(),
-        "a row that nothing describes"
+        "a row without a description"
     );
     assert!(Reply::default()
         .read_message(b'T', &[&[0, 2][..], b"payload\0", &[0; 18]].concat())
@@ -21,12 +21,12 @@
     );
     assert!(
         reply.clone().read_message(b'Z', b"I").is_err(),
-        "an end without a row"
+        "ReadyForQuery without a row"
     );
     assert_eq!(reply.read_message(b'D', &row), Ok(true));
     assert!(
         !reply.served(),
-        "without CommandComplete it may not be whole"
+        "without CommandComplete the reply may be incomplete"
     );
     assert!(
         reply.clone().read_message(b'D', &row).is_err(),
--- a/crates/pg/tests/written_messages.rs
+++ b/crates/pg/tests/written_messages.rs
@@ -28,9 +28,9 @@
         written(|out| put_error(out, "ERROR", code::INTERNAL_ERROR, "m", Some("250"))),
         b"E\0\0\0\x22SERROR\0VERROR\0CXX000\0Mm\0D250\0\0"
     );
-    let welcome = written(|out| put_startup_response(out, Some(b"12345678")));
-    assert!(welcome.starts_with(b"R\0\0\0\x08\0\0\0\0S\0\0\0\x18server_version\x0016.0\0"));
-    assert!(welcome.ends_with(b"K\0\0\0\x0c12345678Z\0\0\0\x05I"));
+    let startup_response = written(|out| put_startup_response(out, Some(b"12345678")));
+    assert!(startup_response.starts_with(b"R\0\0\0\x08\0\0\0\0S\0\0\0\x18server_version\x0016.0\0"));
+    assert!(startup_response.ends_with(b"K\0\0\0\x0c12345678Z\0\0\0\x05I"));
     let without_key = written(|out| put_startup_response(out, None));
     assert!(without_key.ends_with(b"standard_conforming_strings\0on\0Z\0\0\0\x05I"));
 }
--- a/crates/retry-storm/src/budget_lease.rs
+++ b/crates/retry-storm/src/budget_lease.rs
@@ -86,30 +86,40 @@
     usable_from: Nanos,
     granted: Vec<GrantedLease>,
     held: BTreeMap<HeldLeaseKey, HeldLease>,
-    next_number: u32,
+    next_lease_number: u32,
 }
 
 impl BudgetShare {
     /// Creates the share of a gateway that has restarted. None of it is usable until all leases that the previous
-    /// process may have granted have expired. `first_number` is the number of the first lease; it must be random, so
+    /// process may have granted have expired. `first_lease_number` is the number of the first lease; it must be random, so
     /// that leases of the previous process are not mistaken for new ones.
-    pub fn after_restart(gateway: GatewayId, share: u32, now: Nanos, first_number: u32) -> Self {
+    pub fn after_restart(
+        gateway: GatewayId,
+        share: u32,
+        now: Nanos,
+        first_lease_number: u32,
+    ) -> Self {
         BudgetShare {
             gateway,
             share,
             usable_from: now + MAX_LEASE_DURATION + CLOCK_ERROR_MARGIN,
             granted: Vec::new(),
             held: BTreeMap::new(),
-            next_number: first_number,
+            next_lease_number: first_lease_number,
         }
     }
 
     /// Creates the share for a host that appears while this gateway is running. It is usable at once, because no
     /// earlier lease of it can exist.
-    pub fn for_new_host(gateway: GatewayId, share: u32, now: Nanos, first_number: u32) -> Self {
+    pub fn for_new_host(
+        gateway: GatewayId,
+        share: u32,
+        now: Nanos,
+        first_lease_number: u32,
+    ) -> Self {
         BudgetShare {
             usable_from: now,
-            ..BudgetShare::after_restart(gateway, share, now, first_number)
+            ..BudgetShare::after_restart(gateway, share, now, first_lease_number)
         }
     }
 
@@ -165,11 +175,11 @@
             .sort_by_key(|lease| (lease.returns_at, lease.amount));
         let lease = Lease {
             holder,
-            number: self.next_number,
+            number: self.next_lease_number,
             amount,
             expires_at,
         };
-        self.next_number = self.next_number.wrapping_add(1);
+        self.next_lease_number = self.next_lease_number.wrapping_add(1);
         Some(lease)
     }
 
--- a/crates/retry-storm/src/detector.rs
+++ b/crates/retry-storm/src/detector.rs
@@ -34,9 +34,9 @@
     /// The members of the group are slower than usual.
     Slowdown,
     /// Members have returned to service and are in slow start, with cold caches.
-    ColdReturn,
+    SlowStart,
     /// The group has no primary, or the primary does not answer.
-    SilentPrimary,
+    PrimaryUnavailable,
 }
 
 impl StormCause {
@@ -46,19 +46,19 @@
             StormCause::Unknown => "unknown",
             StormCause::Restart => "restart",
             StormCause::Slowdown => "slowdown",
-            StormCause::ColdReturn => "cold-return",
-            StormCause::SilentPrimary => "silent-primary",
+            StormCause::SlowStart => "cold-return",
+            StormCause::PrimaryUnavailable => "silent-primary",
         }
     }
 }
 
 /// The state of a group, from which the cause of a storm is inferred.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct SetStatus {
+pub struct GroupStatus {
     /// Whether the group has no primary that answers.
-    pub primary_is_silent: bool,
+    pub primary_unavailable: bool,
     /// Number of members in slow start.
-    pub cold_members: u32,
+    pub members_in_slow_start: u32,
     /// Ratio of the members' current latency to their usual latency.
     pub latency_ratio: f64,
     /// Time since this gateway started.
@@ -189,7 +189,7 @@
 
     /// Updates the state of the storm from the counts and the group's status. Returns the change, or `None` if the
     /// state is the same as before.
-    pub fn evaluate(&mut self, now: Nanos, status: &SetStatus) -> Option<StormChange> {
+    pub fn evaluate(&mut self, now: Nanos, status: &GroupStatus) -> Option<StormChange> {
         let fraction = self.retry_fraction(now);
         let strength = fraction.map_or(0.0, |fraction| {
             (fraction / FULL_STRENGTH_FRACTION).clamp(0.0, 1.0)
@@ -237,11 +237,11 @@
     }
 }
 
-fn infer_cause(status: &SetStatus) -> StormCause {
-    if status.primary_is_silent {
-        StormCause::SilentPrimary
-    } else if status.cold_members > 0 {
-        StormCause::ColdReturn
+fn infer_cause(status: &GroupStatus) -> StormCause {
+    if status.primary_unavailable {
+        StormCause::PrimaryUnavailable
+    } else if status.members_in_slow_start > 0 {
+        StormCause::SlowStart
     } else if status.latency_ratio >= SLOWDOWN_RATIO {
         StormCause::Slowdown
     } else if status.uptime < RESTART_DURATION {
--- a/crates/retry-storm/src/recovery_schedule.rs
+++ b/crates/retry-storm/src/recovery_schedule.rs
@@ -139,7 +139,7 @@
         let work = rejection.work.max(1) as f64;
         let earliest_slot = rejection.not_before.max(now) / SLOT_LENGTH + 1;
         let search_from = (earliest_slot - self.first_slot).max(0) as usize;
-        let Some(run) = self.find_room(search_from, work) else {
+        let Some(run) = self.find_capacity(search_from, work) else {
             return Reservation {
                 retry_at: (self.first_slot + self.slots.len() as i64) * SLOT_LENGTH,
                 kind: ReservationKind::BeyondHorizon,
@@ -149,7 +149,7 @@
         let slot_start = (self.first_slot + run.first as i64) * SLOT_LENGTH;
         let offset = (rejection.draw.clamp(0.0, MAX_DRAW) * SLOT_LENGTH as f64) as Nanos;
         let retry_at = slot_start + offset;
-        self.remember(rejection.origin, retry_at);
+        self.store_retry_time(rejection.origin, retry_at);
         Reservation {
             retry_at,
             kind: ReservationKind::New,
@@ -177,19 +177,19 @@
 
     /// Finds the first run of slots with capacity for this work. Work that exceeds the capacity of one slot takes
     /// several consecutive slots, and its client retries in the first of them.
-    fn find_room(&self, search_from: usize, work: f64) -> Option<SlotRun> {
+    fn find_capacity(&self, search_from: usize, work: f64) -> Option<SlotRun> {
         if self.free_cores <= 0.0 {
             return None;
         }
         let count = (work / self.slot_capacity()).ceil().max(1.0) as usize;
         let last_start = self.slots.len().checked_sub(count)?;
         let work_per_slot = work / count as f64;
-        let has_room = |index: usize| {
+        let has_capacity = |index: usize| {
             let slot = &self.slots[index];
             slot.reserved + work_per_slot <= slot.capacity
         };
         let first =
-            (search_from..=last_start).find(|&start| (start..start + count).all(has_room))?;
+            (search_from..=last_start).find(|&start| (start..start + count).all(has_capacity))?;
         Some(SlotRun {
             first,
             count,
@@ -206,7 +206,7 @@
         }
     }
 
-    fn remember(&mut self, origin: Origin, retry_at: Nanos) {
+    fn store_retry_time(&mut self, origin: Origin, retry_at: Nanos) {
         if self.retry_times.len() >= MAX_RESERVATIONS {
             // If the client of a removed entry retries early, it gets a new time. This is a disadvantage for that
             // client only.
@@ -224,7 +224,7 @@
     /// Advances the schedule to the time `now`.
     fn advance(&mut self, now: Nanos) {
         self.replace_past_slots(now);
-        self.forget_past_times(now);
+        self.remove_past_retry_times(now);
     }
 
     /// Removes the slots that have passed, and appends as many empty ones.
@@ -246,7 +246,7 @@
 
     /// Removes retry times that passed more than one slot length ago. Later ones are kept, because clients retry a few
     /// milliseconds late.
-    fn forget_past_times(&mut self, now: Nanos) {
+    fn remove_past_retry_times(&mut self, now: Nanos) {
         while let Some(&(retry_at, origin)) = self.expiry_queue.front() {
             if retry_at + SLOT_LENGTH >= now {
                 return;
--- a/crates/retry-storm/tests/budget_lease.rs
+++ b/crates/retry-storm/tests/budget_lease.rs
@@ -27,7 +27,7 @@
     assert_eq!(
         (owner.usable(end), holder.usable(end)),
         (40, 100),
-        "neither, for the margin"
+        "neither gateway uses the amount during the clock error margin"
     );
     assert_eq!(owner.usable(end + CLOCK_ERROR_MARGIN), 100);
 }
@@ -55,7 +55,7 @@
     assert_eq!(
         holder.accept(0, GatewayId(1), lease),
         Err(LeaseRejected::WrongGateway),
-        "from itself"
+        "the sender is this gateway"
     );
     assert_eq!(
         holder.accept(100 * MILLISECOND, GatewayId(0), lease),
@@ -95,12 +95,12 @@
             }
         ),
         Err(LeaseRejected::InvalidAmount),
-        "in all"
+        "both leases together exceed the share"
     );
     assert_eq!(
         holder.accept(0, GatewayId(2), Lease { number: 1, ..lease }),
         Ok(()),
-        "another sender's"
+        "another owner may use the same lease number"
     );
 }
 
@@ -125,6 +125,6 @@
     assert_eq!(
         owner.grant(2 * SECOND, GatewayId(0), 1, MILLISECOND),
         None,
-        "to itself"
+        "the holder is this gateway"
     );
 }
--- a/crates/retry-storm/tests/retry_budget.rs
+++ b/crates/retry-storm/tests/retry_budget.rs
@@ -9,7 +9,7 @@
     (0..5).for_each(|_| assert!(budget.try_withdraw(1.0, 0.1, 1.0)));
     assert!(
         !budget.try_withdraw(1.0, 0.1, 1.0) && budget.try_withdraw(1.0, 1.0, 1.0),
-        "what is worth most still may"
+        "requests of the highest worth may still withdraw"
     );
     (0..100).for_each(|_| budget.deposit(1.0));
     assert_eq!(budget.tokens(), 4.0);
--- a/crates/retry-storm/tests/unit/detector.rs
+++ b/crates/retry-storm/tests/unit/detector.rs
@@ -1,13 +1,15 @@
 //! The storm detector: thresholds, causes and their changes.
 
-use super::{infer_cause, Arrival, RequestKind, SetStatus, StormCause, StormChange, StormDetector};
+use super::{
+    infer_cause, Arrival, GroupStatus, RequestKind, StormCause, StormChange, StormDetector,
+};
 use crate::decaying_count::DecayingCount;
 use crate::{Nanos, MILLISECOND, SECOND};
 
-fn long_running() -> SetStatus {
-    SetStatus {
+fn long_running() -> GroupStatus {
+    GroupStatus {
         uptime: 60 * SECOND,
-        ..SetStatus::default()
+        ..GroupStatus::default()
     }
 }
 
@@ -18,7 +20,7 @@
     from: Nanos,
     duration: Nanos,
     retry_interval: u64,
-    status: &SetStatus,
+    status: &GroupStatus,
 ) -> Vec<(Nanos, StormChange)> {
     let mut changes = Vec::new();
     let mut n = 0;
@@ -43,16 +45,16 @@
     let mut detector = StormDetector::default();
     assert!(
         send_requests(&mut detector, 0, 5 * SECOND, 20, &long_running()).is_empty(),
-        "one in twenty is no storm"
+        "one retry in twenty requests is no storm"
     );
-    let silent = SetStatus {
-        primary_is_silent: true,
+    let silent = GroupStatus {
+        primary_unavailable: true,
         ..long_running()
     };
     let started = send_requests(&mut detector, 5 * SECOND, 3 * SECOND, 2, &silent);
     assert_eq!(started.len(), 1);
     assert!(
-        matches!(started[0], (t, StormChange::Started { cause: StormCause::SilentPrimary, .. }) if t < 6 * SECOND),
+        matches!(started[0], (t, StormChange::Started { cause: StormCause::PrimaryUnavailable, .. }) if t < 6 * SECOND),
         "{started:?}"
     );
     assert!(detector.strength(8 * SECOND) > 0.6);
@@ -61,8 +63,8 @@
         8 * SECOND,
         10 * SECOND,
         0,
-        &SetStatus {
-            cold_members: 1,
+        &GroupStatus {
+            members_in_slow_start: 1,
             ..long_running()
         },
     );
@@ -100,7 +102,7 @@
         assert_eq!(
             detector.evaluate(
                 t,
-                &SetStatus {
+                &GroupStatus {
                     latency_ratio: 3.0,
                     ..long_running()
                 }
@@ -112,28 +114,28 @@
 
 #[test]
 fn cause_changes_only_on_stronger_evidence() {
-    let cause_of = |status: SetStatus| {
-        infer_cause(&SetStatus {
+    let cause_of = |status: GroupStatus| {
+        infer_cause(&GroupStatus {
             uptime: 60 * SECOND,
             ..status
         })
     };
     assert_eq!(
-        cause_of(SetStatus {
-            cold_members: 2,
+        cause_of(GroupStatus {
+            members_in_slow_start: 2,
             latency_ratio: 2.0,
             ..long_running()
         }),
-        StormCause::ColdReturn
+        StormCause::SlowStart
     );
     assert_eq!(
-        cause_of(SetStatus {
+        cause_of(GroupStatus {
             latency_ratio: 2.0,
             ..long_running()
         }),
         StormCause::Slowdown
     );
-    assert_eq!(infer_cause(&SetStatus::default()), StormCause::Restart);
+    assert_eq!(infer_cause(&GroupStatus::default()), StormCause::Restart);
     assert_eq!(cause_of(long_running()), StormCause::Unknown);
     let mut detector = StormDetector::default();
     send_requests(
@@ -141,7 +143,7 @@
         0,
         2 * SECOND,
         2,
-        &SetStatus {
+        &GroupStatus {
             latency_ratio: 2.0,
             ..long_running()
         },
@@ -151,8 +153,8 @@
         2 * SECOND,
         SECOND,
         2,
-        &SetStatus {
-            primary_is_silent: true,
+        &GroupStatus {
+            primary_unavailable: true,
             ..long_running()
         },
     );
@@ -162,7 +164,7 @@
             [(
                 _,
                 StormChange::CauseChanged {
-                    cause: StormCause::SilentPrimary
+                    cause: StormCause::PrimaryUnavailable
                 }
             )]
         ),
@@ -173,12 +175,12 @@
         3 * SECOND,
         SECOND,
         2,
-        &SetStatus {
-            cold_members: 1,
+        &GroupStatus {
+            members_in_slow_start: 1,
             ..long_running()
         },
     );
-    assert!(back.is_empty(), "it stays the same storm");
+    assert!(back.is_empty(), "weaker evidence does not change the cause");
 }
 
 #[test]
--- a/crates/retry-storm/tests/unit/recovery_schedule.rs
+++ b/crates/retry-storm/tests/unit/recovery_schedule.rs
@@ -38,7 +38,7 @@
             .retry_at
             / SLOT_LENGTH,
         26,
-        "not before"
+        "the retry time is not before `not_before`"
     );
 }
 
@@ -59,11 +59,11 @@
     );
     assert!(
         !schedule.record_arrival(first.retry_at, Origin(7)),
-        "in time"
+        "on time"
     );
     assert!(
         !schedule.record_arrival(first.retry_at, Origin(8)),
-        "never told"
+        "the client was given no retry time"
     );
     let later = schedule.reserve(
         first.retry_at + MILLISECOND,
@@ -71,7 +71,7 @@
     );
     assert!(
         later.kind == ReservationKind::New && later.retry_at > first.retry_at,
-        "refused anew, in time: a new place"
+        "a client that is rejected again after an on-time retry gets a new reservation"
     );
 }
 
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn long_request_takes_the_room_of_many_short_ones() {
+fn long_request_takes_the_capacity_of_many_short_ones() {
     let mut schedule = RecoverySchedule::new(SECOND);
     schedule.set_free_cores(0, 1.0);
     let long = schedule.reserve(0, rejection(1, 100 * MILLISECOND, 0, 0.0));
