--- a/crates/pg/src/frame.rs
+++ b/crates/pg/src/frame.rs
@@ -68,7 +68,7 @@
 }
 
 /// Iterates over the bodies of the `Query` messages among the complete messages at the start of these bytes.
-pub fn whole_queries(bytes: &[u8]) -> impl Iterator<Item = &[u8]> + '_ {
+pub fn complete_queries(bytes: &[u8]) -> impl Iterator<Item = &[u8]> + '_ {
     let mut begin = 0;
     complete_messages(bytes).filter_map(move |frame| {
         let message = &bytes[begin..];
@@ -78,6 +78,6 @@
 }
 
 /// Returns the total size of the complete messages at the start of these bytes.
-pub fn whole_messages_size(bytes: &[u8]) -> usize {
+pub fn complete_messages_size(bytes: &[u8]) -> usize {
     complete_messages(bytes).map(|frame| frame.body.end).sum()
 }
--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -18,7 +18,8 @@
 pub use backend::{put_error, put_ready, put_startup_response};
 pub use error::Malformed;
 pub use frame::{
-    frame, message_size, whole_messages_size, whole_queries, Frame, HEADER_SIZE, MAX_MESSAGE_SIZE,
+    complete_messages_size, complete_queries, frame, message_size, Frame, HEADER_SIZE,
+    MAX_MESSAGE_SIZE,
 };
 pub use frontend::{
     is_empty, put_query, put_startup, query, startup, CancelKey, Startup, StartupMessage,
--- a/src/net/downstream/input_buffer.rs
+++ b/src/net/downstream/input_buffer.rs
@@ -73,12 +73,12 @@
 
     /// Returns the number of complete queries that have not been processed, dropped ones included.
     pub(super) fn unanswered_queries(&self) -> usize {
-        pg::whole_queries(self.unprocessed()).count() + self.dropped.queries()
+        pg::complete_queries(self.unprocessed()).count() + self.dropped.queries()
     }
 
     /// Returns the ids of the first unprocessed requests in the buffer, at most `max_ids` of them.
     pub(super) fn first_request_ids(&self, max_ids: usize) -> Vec<&str> {
-        pg::whole_queries(self.unprocessed())
+        pg::complete_queries(self.unprocessed())
             .filter_map(|body| pg::statement(pg::query(body).ok()?).ok())
             .map(|statement| statement.id)
             .take(max_ids)
@@ -91,7 +91,7 @@
         let Some(buffer) = &mut self.buffer else {
             return;
         };
-        let complete_size = pg::whole_messages_size(buffer);
+        let complete_size = pg::complete_messages_size(buffer);
         self.dropped.drop_bytes(&buffer[complete_size..]);
         self.read_times.remove_last(buffer.len() - complete_size);
         buffer.truncate(complete_size);
