--- a/crates/host-index/src/idle_connections.rs
+++ b/crates/host-index/src/idle_connections.rs
@@ -60,7 +60,7 @@
     }
 
     /// Drops the idle connections to a host for which `keep` returns false.
-    pub fn retain_of(&mut self, member: M, keep: impl Fn(&C) -> bool) {
+    pub fn retain_for_host(&mut self, member: M, keep: impl Fn(&C) -> bool) {
         let Some(host_connections) = self.by_host.get_mut(&member) else {
             return;
         };
@@ -81,7 +81,7 @@
     pub fn retain(&mut self, keep: impl Fn(&C) -> bool) {
         let members: Vec<M> = self.by_host.keys().copied().collect();
         for member in members {
-            self.retain_of(member, &keep);
+            self.retain_for_host(member, &keep);
         }
     }
 
--- a/crates/host-index/tests/idle_connections.rs
+++ b/crates/host-index/tests/idle_connections.rs
@@ -52,7 +52,7 @@
                 Step::MultiplesClosed { divisor, member } => {
                     let keep = |connection: &u32| !connection.is_multiple_of(divisor);
                     match member {
-                        Some(member) => idle.retain_of(member, keep),
+                        Some(member) => idle.retain_for_host(member, keep),
                         None => idle.retain(keep),
                     }
                     let is_affected = |of: u32| member.is_none_or(|member| member == of);
--- a/src/net/upstream/registry.rs
+++ b/src/net/upstream/registry.rs
@@ -156,7 +156,7 @@
         let idle = &mut self.idle;
         let endpoint = self.hosts.update(member, |host| {
             host.apply_entry(entry, only_listed_drains_bind);
-            idle.retain_of(member, |connection| {
+            idle.retain_for_host(member, |connection| {
                 host.accepts_requests_at(connection.incarnation)
             });
             host.endpoint(member, zone)
@@ -197,7 +197,7 @@
             }
         });
         if removed {
-            self.idle.retain_of(member, |_| false);
+            self.idle.retain_for_host(member, |_| false);
         }
     }
 
