--- a/crates/retry-storm/src/detector.rs
+++ b/crates/retry-storm/src/detector.rs
@@ -143,7 +143,7 @@
         self.connects.add(now, 1.0);
     }
 
-    /// Returns the recent fraction of retries among all requests, or `None` if there were fewer than [`MIN_REQUESTS`].
+    /// Returns the recent fraction of retries among all requests, or `None` if there were fewer than `MIN_REQUESTS`.
     pub fn retry_fraction(&self, now: Nanos) -> Option<f64> {
         let retries = self.retries.value_at(now);
         let requests = self.first_attempts.value_at(now) + retries;
