--- a/crates/pg/src/lib.rs
+++ b/crates/pg/src/lib.rs
@@ -1,7 +1,7 @@
-//! PostgreSQL's wire protocol, version 3: framing, the messages that the gateway reads and writes, and the comment in
-//! which a statement carries what the gateway needs to route it.
+//! PostgreSQL's wire protocol, version 3: framing, the messages that the gateway reads and writes, and the comment at
+//! the end of a statement that tells the gateway how to route it.
 //!
-//! The package does no I/O. Every length is bounded, and nothing that comes from outside is trusted.
+//! The package does no I/O. Every length is bounded, and all input is validated.
 
 mod backend;
 pub mod code;
@@ -18,7 +18,8 @@
 pub use backend::{put_error, put_ready, put_startup_response};
 pub use error::Malformed;
 pub use frame::{
-    frame, message_size, whole_messages_size, whole_queries, Frame, HEADER_SIZE, MAX_MESSAGE_SIZE,
+    complete_messages_size, complete_queries, frame, message_size, Frame, HEADER_SIZE,
+    MAX_MESSAGE_SIZE,
 };
 pub use frontend::{
     is_empty, put_query, put_startup, query, startup, CancelKey, Startup, StartupMessage,
