--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,5 +1,6 @@
-//! Clients: which requests come and when, whatever becomes of those before them (an open loop), and what a client does
-//! with the answer to a try. The front that spreads them over the gateways is here too.
+//! Clients: the arrival process of requests, which does not depend on how earlier requests end (an open loop), and the
+//! reaction of a client to the outcome of a try. Also contains the front layer, which distributes the tries over the
+//! gateways.
 
 use crate::faults::{self, PlannedFault};
 use crate::rng::{Rng, Stream};
@@ -8,53 +9,54 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// A request as it comes, before any try of it.
+/// The arrival of a request at its client, before the first try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Arrival {
-    /// When, since the start of the run.
+    /// Time of the arrival, since the start of the run.
     pub at: Ns,
-    /// Its number, in order of drawing.
+    /// Identifies the request: a sequence number, assigned in the order in which arrivals are drawn.
     pub call: u64,
-    /// Its set.
+    /// Replica set that the request addresses.
     pub set: SetId,
-    /// Its class, by its place in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Its work on a core.
+    /// CPU time that the request needs, in nanoseconds on one core.
     pub work: Ns,
-    /// Its session, in classes that have sessions.
+    /// Session of the request; `None` for classes other than session reads and writes.
     pub session: Option<u64>,
-    /// Its idempotency key, on a write.
+    /// Idempotency key of a write; `None` for a read.
     pub key: Option<u64>,
-    /// Decides on which gateway it comes in.
+    /// Random number that determines the gateway of a request that is not bound to its session's gateway, and whether
+    /// the client disconnects early.
     pub pick: u64,
-    /// It comes to any gateway, not to its session's.
+    /// Whether the request may go to any gateway instead of its session's gateway.
     pub roams: bool,
 }
 
-/// The rates of the arrivals that follow no other, a second.
+/// Rates of the independent arrivals, that is, those that do not follow a write, per second.
 struct ArrivalRates {
-    /// The mean without surges.
+    /// Mean rate without traffic surges.
     base: f64,
-    /// No moment's rate is higher.
+    /// Upper bound of the rate at any time.
     bound: f64,
-    /// The share of each class among them.
+    /// Share of each class among the independent arrivals.
     shares: Vec<f64>,
-    /// Session reads behind each write, in the mean.
+    /// Mean number of session reads that follow a write.
     followers_per_write: f64,
     swing: Swing,
 }
 
-/// A rate that rises and falls with time, as a sine.
+/// Sinusoidal variation of the arrival rate.
 struct Swing {
-    /// The part of the rate by which it rises and falls.
+    /// Amplitude, as a fraction of the mean rate.
     amplitude: f64,
-    /// In nanoseconds.
+    /// Period in nanoseconds.
     period: f64,
-    /// In radians.
+    /// Phase in radians.
     phase: f64,
 }
 
-/// All arrivals of a day, in order.
+/// Iterator over all arrivals of a day, in order of time.
 pub struct Arrivals {
     day: Day,
     needs: Vec<Need>,
@@ -71,7 +73,7 @@
 }
 
 impl Arrivals {
-    /// The arrivals of a day.
+    /// Creates the arrivals of the day that `seed` gives.
     pub fn new(spec: &Spec, seed: u64) -> Self {
         let day = Day::draw(spec, seed);
         let needs: Vec<Need> = spec.classes.iter().map(|c| c.need).collect();
@@ -129,10 +131,11 @@
         arrivals
     }
 
-    /// The next one that follows no other.
+    /// Draws the next independent arrival; `None` after the end of the run.
     fn draw(&mut self) -> Option<Arrival> {
         loop {
-            // Drawn at the highest rate, and kept with the part that the rate of the moment is of it.
+            // Thinning: candidates are drawn at the upper bound of the rate, and each is accepted with the probability
+            // `current rate / bound`.
             let step = self.rng.exponential((1e9 / self.rates.bound) as Ns).max(1);
             self.at += step as f64;
             if self.at >= self.end as f64 {
@@ -192,7 +195,7 @@
             class,
             work: (work as Ns).max(1000),
             session: has_session.then_some(session),
-            // Never 0, and the same for all tries.
+            // The key is never 0, and all tries of the request carry the same key.
             key: (need == Need::Write).then_some(self.next << 8 | 1),
             pick,
             roams,
@@ -200,7 +203,7 @@
     }
 }
 
-/// The place of this part of the whole among shares that sum up to 1.
+/// Returns the index of the share into which the fraction `at` of the total falls.
 fn weighted(shares: &[f64], mut at: f64) -> usize {
     let sum: f64 = shares.iter().sum();
     at *= sum;
@@ -245,75 +248,75 @@
     }
 }
 
-/// One try of a request, as a client sends it.
+/// One try of a request, as its client sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Try {
-    /// The request.
+    /// Identifies the request.
     pub call: u64,
-    /// Which try of it, from 0.
+    /// Number of the try within the request, from 0.
     pub number: u32,
-    /// Where it is sent.
+    /// Gateway to which the try is sent.
     pub gateway: GatewayId,
-    /// Its set, class, work, session and key.
+    /// The request, with its set, class, work, session and key.
     pub arrival: Arrival,
-    /// The commit that it has to see; 0 for none.
+    /// Time of the commit that a session read must observe; 0 for none.
     pub mark: Ns,
-    /// It is marked as a repeat.
+    /// Whether the client marks the try as a retry.
     pub marked: bool,
-    /// When it is sent.
+    /// Time at which the client sends the try.
     pub sent: Ns,
-    /// When it is given up.
+    /// Time at which the client gives up the try.
     pub deadline: Ns,
-    /// When its client leaves, where that is before.
+    /// Time before the deadline at which the client disconnects; `None` if it waits until the deadline.
     pub leaves: Option<Ns>,
 }
 
-/// How a try ended, as its client sees it.
+/// Outcome of a try, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// A row; of a write, its commit.
+    /// The client received a row.
     Served {
-        /// The commit, in the clock of the run.
+        /// Time of the commit of a write, on the clock of the run.
         commit: Option<Ns>,
     },
-    /// Refused, with the pause that was told.
+    /// The gateway rejected the request.
     Refused {
-        /// For so long the client is to stay away.
+        /// Time that the rejection asks the client to wait before a retry.
         pause: Option<Ns>,
     },
-    /// An error.
+    /// The client received an error.
     Failed,
-    /// No gateway was reached: it never came there.
+    /// The gateway could not be reached, so the request cannot have run.
     Unreachable,
     /// The connection broke before an answer.
     Broken,
-    /// Nothing came in time.
+    /// No answer arrived before the deadline of the try.
     TimedOut,
-    /// The client left of its own accord.
+    /// The client disconnected before the deadline.
     Left,
 }
 
-/// What has become of a request, with its retries folded into its first try.
+/// Result of a request over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// The request.
+    /// The arrival of the request.
     pub arrival: Arrival,
-    /// When it was served, if it was.
+    /// Time at which the request was served; `None` if it was not.
     pub served: Option<Ns>,
-    /// Tries that it took.
+    /// Number of tries.
     pub tries: u32,
-    /// How the last one ended.
+    /// Outcome of the last try.
     pub last: TryOutcome,
 }
 
-/// What a client does next.
+/// Next step of a client after the end of a try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextStep {
-    /// It tries again at this time.
+    /// The client sends another try at this time.
     Again(Ns),
-    /// It is done.
+    /// The request is finished.
     Done(Finished),
-    /// Nothing: the try is over already.
+    /// Nothing, because the end of the try was already handled.
     Nothing,
 }
 
@@ -321,31 +324,31 @@
     arrival: Arrival,
     number: u32,
     out: bool,
-    /// When the first try that may have run was sent.
+    /// Time at which the first try that may have run was sent; `None` if none can have run.
     may_have_run: Option<Ns>,
     backoff: Ns,
 }
 
-/// When clients give up and try again.
+/// Rules by which clients give up tries and send retries.
 struct RetryPolicy {
     spec: ClientSpec,
-    /// A set drops the repeat of a keyed write for this long.
+    /// Time during which a set ignores a repeat of a keyed write, from the arrival of the first copy.
     window: Ns,
     patience: f64,
     backoff: Ns,
     honour: f64,
 }
 
-/// The front layer that spreads requests over the gateways.
+/// The front layer, which distributes tries over the gateways.
 struct Front {
     gateways: u32,
-    /// Gateways that are dead, and since when.
+    /// Dead gateways, each with the time of its death.
     dead: BTreeMap<GatewayId, Ns>,
-    /// A dead gateway is noticed after this time.
+    /// Time from the death of a gateway until the front stops sending to it.
     notice: Ns,
 }
 
-/// The clients and their front.
+/// The clients and the front layer.
 pub struct Clients {
     start: Ns,
     deadlines: Vec<Ns>,
@@ -353,13 +356,13 @@
     retry: RetryPolicy,
     front: Front,
     open: HashMap<u64, Call>,
-    /// The last commit that each session knows of.
+    /// Time of the last commit that each session has been informed of.
     marks: HashMap<u64, Ns>,
     rng: Rng,
 }
 
 impl Clients {
-    /// The clients of a day that starts then.
+    /// Creates the clients of the day that `seed` gives; the run starts at `start`.
     pub fn new(spec: &Spec, seed: u64, start: Ns) -> Self {
         let day = Day::draw(spec, seed);
         Clients {
@@ -384,12 +387,12 @@
         }
     }
 
-    /// Requests that are not finished.
+    /// Returns the number of unfinished requests.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// A gateway dies, or starts again.
+    /// Records that a gateway died (`up` is false) or started again.
     pub fn set_gateway_state(&mut self, now: Ns, gateway: GatewayId, up: bool) {
         if up {
             self.front.dead.remove(&gateway);
@@ -398,8 +401,8 @@
         }
     }
 
-    /// Where the front sends a request: to its session's gateway or to any. It goes on sending to a dead one until it
-    /// has noticed.
+    /// Returns the gateway to which the front sends a try: the session's gateway, or any gateway for a request that has
+    /// no session or that roams. The front keeps sending to a dead gateway until it detects the failure.
     fn choose_gateway(&self, now: Ns, arrival: &Arrival, number: u32) -> GatewayId {
         let count = u64::from(self.front.gateways.max(1));
         let sticky = arrival.session.filter(|_| !arrival.roams);
@@ -428,7 +431,7 @@
         }
     }
 
-    /// A request comes: its first try.
+    /// Adds the request of an arrival and returns its first try.
     pub fn first_try(&mut self, now: Ns, arrival: Arrival) -> Try {
         let call = Call {
             arrival,
@@ -441,7 +444,7 @@
         self.attempt(now, arrival.call)
     }
 
-    /// A client tries again, at the time that it was told to.
+    /// Returns the next try, to be sent at the time that [`NextStep::Again`] gave; `None` if the request is finished.
     pub fn next_try(&mut self, now: Ns, call: u64) -> Option<Try> {
         self.open
             .contains_key(&call)
@@ -460,7 +463,8 @@
             .filter(|_| session_read)
             .and_then(|s| self.marks.get(&s))
             .copied();
-        // Whether this one leaves early is its own matter: the draws of others do not shift it.
+        // Whether a client leaves early is derived from the request's own random number, so that it does not depend
+        // on the draws for other requests.
         let draw = mix(arrival.pick ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
         let leaves = (draw < self.retry.spec.impatient).then_some(now + patience / 2);
         if let Some(call) = self.open.get_mut(&id) {
@@ -481,7 +485,7 @@
         }
     }
 
-    /// A try has ended: what its client does next. A try that is over already ends once only.
+    /// Records the end of a try and returns the next step of its client. A second end of the same try has no effect.
     pub fn finish_try(
         &mut self,
         now: Ns,
@@ -517,7 +521,8 @@
         let may = match (write, self.retry.spec.writes, may_have_run) {
             (false, ..) | (_, WriteRepeats::Always, _) | (_, _, None) => true,
             (_, WriteRepeats::Refused, Some(_)) => false,
-            // Its set drops a repeat that comes within the window; a third of it is for the way and the queue.
+            // The set ignores a repeat that arrives within the window. A third of the window is reserved for the time
+            // from the client to the host, queueing included.
             (_, WriteRepeats::Window, Some(first)) => at < first + self.retry.window * 2 / 3,
         };
         if number >= self.retry.spec.retries || outcome == TryOutcome::Left || !may {
@@ -554,13 +559,13 @@
         }
     }
 
-    /// Time since the start of the run.
+    /// Converts a time on the clock of the run to the time since the start of the run.
     pub fn since_start(&self, now: Ns) -> Ns {
         now - self.start
     }
 }
 
-/// Spreads a number over all numbers (the finaliser of SplitMix64).
+/// Hashes a number (the finaliser of SplitMix64).
 fn mix(x: u64) -> u64 {
     let mut z = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/simulation/src/cpu.rs
+++ b/crates/simulation/src/cpu.rs
@@ -1,29 +1,31 @@
-//! A host's cores, shared evenly by the jobs in work (processor sharing), with a capacity that ramps after a start.
+//! The cores of a host, shared evenly by the running jobs (processor sharing), with a capacity that ramps up after a
+//! start.
 //!
-//! Exact, and cheap at any number of jobs: instead of each job's remaining work it keeps the service that a job
-//! present all along would have attained, and each job ends when that has grown by its work. While no job comes or
-//! goes the growth has a closed form, also along the ramp, so that nothing is stepped.
+//! The model is exact, and its cost grows only logarithmically with the number of jobs. Instead of the remaining work
+//! of each job, it tracks the attained service of a hypothetical job that has been present from the start; each job
+//! finishes when that service has grown by the job's work. While the set of jobs does not change, the growth has a
+//! closed form, also during the ramp, so that no time steps are needed.
 
 use crate::Ns;
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// Jobs whose end is this close, in nanoseconds of work, have ended: times are whole nanoseconds, service is not.
+/// Remaining service, in nanoseconds of work, below which a job counts as finished: times are integers, service is not.
 const FINISH_TOLERANCE: f64 = 0.75;
 
-/// A capacity that rises evenly from a part of the whole to the whole.
+/// A capacity that rises linearly from a fraction of the full capacity to all of it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ramp {
-    /// When it begins.
+    /// Time at which the ramp begins.
     pub start: Ns,
-    /// The part with which it begins.
+    /// Fraction of the full capacity at the beginning.
     pub from: f64,
-    /// How long it takes.
+    /// Duration of the ramp.
     pub length: Ns,
 }
 
 impl Ramp {
-    /// Warm since long ago.
+    /// Returns a ramp that is over from the start: full capacity at all times.
     pub fn warm() -> Self {
         Ramp {
             start: 0,
@@ -32,7 +34,7 @@
         }
     }
 
-    /// The part at a time.
+    /// Returns the fraction of the full capacity at a time.
     pub fn at(&self, t: Ns) -> f64 {
         if t >= self.end() {
             return 1.0;
@@ -41,17 +43,17 @@
         self.from + (1.0 - self.from) * gone
     }
 
-    /// When it is over.
+    /// Returns the time at which the ramp reaches full capacity.
     pub fn end(&self) -> Ns {
         self.start + self.length
     }
 
-    /// Rise of the part in a nanosecond.
+    /// Returns the increase of the fraction per nanosecond.
     fn slope(&self) -> f64 {
         (1.0 - self.from) / self.length.max(1) as f64
     }
 
-    /// The time at which the part is this much, within the ramp.
+    /// Returns the time at which the ramp reaches a fraction.
     fn when(&self, part: f64) -> f64 {
         self.start as f64 + (part - self.from) / self.slope().max(f64::MIN_POSITIVE)
     }
@@ -86,18 +88,18 @@
     at: Ns,
     service: f64,
     cores: f64,
-    /// Efficiency over slowness: what a core does in a nanosecond.
+    /// Work that a core does per nanosecond: the efficiency divided by the slowdown.
     pace: f64,
     ramp: Ramp,
     frozen: bool,
     jobs: BinaryHeap<Reverse<Finish>>,
     order: u64,
-    /// Core time used, in nanoseconds of work.
+    /// Work done so far, in nanoseconds on one core.
     used: f64,
 }
 
 impl Cpu {
-    /// Idle and warm.
+    /// Creates cores that are idle and warm.
     pub fn new(cores: f64, now: Ns) -> Self {
         Cpu {
             at: now,
@@ -112,52 +114,52 @@
         }
     }
 
-    /// Jobs in work.
+    /// Returns the number of running jobs.
     pub fn busy(&self) -> usize {
         self.jobs.len()
     }
 
-    /// What it can do at a time, in cores.
+    /// Returns the capacity at a time, in cores.
     pub fn capacity(&self, now: Ns) -> f64 {
         self.cores * self.ramp.at(now) * self.pace
     }
 
-    /// Work done so far, in nanoseconds on a core.
+    /// Returns the work done so far, in nanoseconds on one core.
     pub fn used(&self) -> f64 {
         self.used
     }
 
-    /// The ramp that it is on.
+    /// Returns the current ramp.
     pub fn ramp(&self) -> Ramp {
         self.ramp
     }
 
-    /// Changes what it can do, from now on.
+    /// Changes the number of cores and the work that each does per nanosecond, from `now` on.
     pub fn set_capacity(&mut self, now: Ns, cores: f64, pace: f64) {
         self.advance(now);
         self.cores = cores.max(0.01);
         self.pace = pace.max(0.001);
     }
 
-    /// Begins a ramp.
+    /// Replaces the ramp, from `now` on.
     pub fn start_ramp(&mut self, now: Ns, ramp: Ramp) {
         self.advance(now);
         self.ramp = ramp;
     }
 
-    /// Stops and goes on: what is in work stays there.
+    /// Suspends all jobs, or resumes them with the work that they have left.
     pub fn freeze(&mut self, now: Ns, frozen: bool) {
         self.advance(now);
         self.frozen = frozen;
     }
 
-    /// All jobs are lost.
+    /// Drops all jobs.
     pub fn clear(&mut self, now: Ns) {
         self.advance(now);
         self.jobs.clear();
     }
 
-    /// A job comes.
+    /// Adds a job with this much work.
     pub fn add(&mut self, now: Ns, work: Ns, job: u64) {
         self.advance(now);
         self.order += 1;
@@ -169,7 +171,7 @@
         }));
     }
 
-    /// When the next job ends if none comes, goes or changes before.
+    /// Returns the time at which the next job finishes, provided that jobs and capacity do not change before.
     pub fn next_finish(&self) -> Option<Ns> {
         let Reverse(first) = self.jobs.peek()?;
         if self.frozen {
@@ -179,7 +181,7 @@
         Some(self.at + self.time_for(left.max(0.0)).ceil().max(0.0) as Ns)
     }
 
-    /// The next job that has ended by now.
+    /// Removes and returns the next job that has finished by `now`.
     pub fn pop_finished(&mut self, now: Ns) -> Option<u64> {
         self.advance(now);
         let Reverse(first) = self.jobs.peek()?;
@@ -189,12 +191,12 @@
         self.jobs.pop().map(|Reverse(f)| f.job)
     }
 
-    /// The service that a job present all along would have had, in nanoseconds of work.
+    /// Returns the service that a job present from the start would have attained, in nanoseconds of work.
     pub fn attained_service(&self) -> f64 {
         self.service
     }
 
-    /// Brings the service forward to `now`; earlier times change nothing.
+    /// Advances the attained service to `now`; a time in the past has no effect.
     pub fn advance(&mut self, now: Ns) {
         if now > self.at {
             if !self.frozen && !self.jobs.is_empty() {
@@ -206,13 +208,14 @@
         }
     }
 
-    /// A job runs at the pace of a core, or of its part of all of them where they are fewer than the jobs: this many
-    /// cores for each job, once warm.
+    /// Returns the number of cores per job once the host is warm. A job uses at most one core; the callers apply that
+    /// limit.
     fn cores_per_job(&self) -> f64 {
         self.cores / self.jobs.len().max(1) as f64
     }
 
-    /// Until when, from the time reached, a job's part still grows: to the end of the ramp, or to a whole core.
+    /// Returns the time for which the share of a job still grows: until the end of the ramp, or until the share reaches
+    /// a full core.
     fn growth_time(&self) -> f64 {
         let at = self.at as f64;
         let part = self.cores_per_job();
@@ -240,7 +243,7 @@
         (first + then * (time - grows).max(0.0)) * self.pace
     }
 
-    /// The rate once it no longer grows.
+    /// Returns the cores that a job has once its share no longer grows.
     fn settled_rate(&self) -> f64 {
         let grew = self.growth_time();
         let end = self.at as f64 + grew;
@@ -259,7 +262,7 @@
         let rise = self.cores_per_job() * self.ramp.slope();
         let first = rate * grows + rise * grows * grows / 2.0;
         if grows > 0.0 && need <= first {
-            // rise/2 x^2 + rate x = need, in the form that stays exact where the rise is next to nothing.
+            // Solves rise/2 x^2 + rate x = need, in the form that is numerically stable for a rise close to zero.
             return 2.0 * need / (rate + (rate * rate + 2.0 * rise * need).sqrt());
         }
         grows + (need - first) / self.settled_rate().max(1e-12)
--- a/crates/simulation/src/datagrams.rs
+++ b/crates/simulation/src/datagrams.rs
@@ -1,28 +1,29 @@
-//! Datagrams between gateways: late, lost, bounded in size, and paid for by each that is sent to a receiver.
+//! Datagrams between gateways, which are delayed, may be lost and are bounded in size. A datagram to several receivers
+//! is counted once for each.
 
 use crate::fleet::Fleet;
 use crate::rng::{Rng, Stream};
 use crate::{GatewayId, Ns};
 
-/// Longest datagram, in bytes; a longer one breaks the platform's rule.
+/// Maximum length of a datagram in bytes; the platform does not allow longer ones.
 pub const LONGEST: usize = 256;
 
-/// The network between gateways, and what has gone over it.
+/// The network between gateways, with counters of its traffic.
 #[derive(Clone, Debug)]
 pub struct Datagrams {
     rng: Rng,
-    /// Datagrams that were sent, one for each receiver.
+    /// Number of datagrams sent, counted once per receiver.
     pub sent: u64,
-    /// Their bytes.
+    /// Total length of the datagrams sent, in bytes.
     pub bytes: u64,
-    /// Those that did not arrive.
+    /// Number of datagrams that did not arrive.
     pub lost: u64,
-    /// Those that were too long.
+    /// Number of datagrams longer than [`LONGEST`], which do not arrive.
     pub too_long: u64,
 }
 
 impl Datagrams {
-    /// Nothing has been sent.
+    /// Creates the network; no datagram has been sent.
     pub fn new(seed: u64) -> Self {
         Datagrams {
             rng: Rng::new(seed, Stream::Network),
@@ -33,7 +34,7 @@
         }
     }
 
-    /// One is sent to one gateway: when it arrives, if it does.
+    /// Sends a datagram to one gateway and returns the time at which it arrives; `None` if it is lost.
     pub fn send(
         &mut self,
         now: Ns,
@@ -46,7 +47,7 @@
         self.bytes += length as u64;
         self.too_long += u64::from(length > LONGEST);
         let day = fleet.day();
-        // Both are drawn each time, so that a lost one does not shift the times of those behind it.
+        // Both are drawn for each datagram, so that the loss of one does not change the delays of later ones.
         let (chance, longer) = (self.rng.unit(), self.rng.unit());
         if length > LONGEST || chance < fleet.datagram_loss() || !fleet.hears(from, to) {
             self.lost += 1;
--- a/crates/simulation/src/endpoint_list.rs
+++ b/crates/simulation/src/endpoint_list.rs
@@ -1,62 +1,62 @@
-//! The list of hosts as each gateway is told it: seconds late, each gateway a little after the other, and not at all
-//! while discovery is silent. It knows whether a process runs, and nothing of roles or health.
+//! The endpoint list as discovery delivers it to each gateway: seconds late, to each gateway at a slightly different
+//! time, and not at all while discovery is silent. It contains whether a process runs, but neither roles nor health.
 
 use crate::rng::{Rng, Stream};
 use crate::spec::ListSpec;
 use crate::{ms, seconds, GatewayId, HostId, Ns, SetId};
 use std::collections::BTreeMap;
 
-/// What the list says of a host.
+/// State of a host in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListedState {
     /// In service.
     Ready,
-    /// Finishes its work, wants nothing new.
+    /// The host finishes its requests and must get no new ones.
     Draining,
-    /// Its process does not run.
+    /// The process does not run.
     Gone,
 }
 
-/// One line of the list.
+/// One entry of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListEntry {
     /// The host.
     pub host: HostId,
-    /// Its set.
+    /// Set of which the host is a member.
     pub set: SetId,
-    /// What is said of it.
+    /// State of the host.
     pub listed: ListedState,
-    /// When its process started; 0 for long ago.
+    /// Time at which the process started; 0 if it started before the run.
     pub since: Ns,
-    /// Orders what is said of one host.
+    /// Sequence number of the change; of two entries for a host, the higher is the newer.
     order: u64,
 }
 
-/// One gateway's list.
+/// The endpoint list as one gateway knows it.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointView {
-    /// Grows with each change.
+    /// Incremented at each change.
     pub version: u64,
     entries: BTreeMap<HostId, ListEntry>,
-    /// Since when it has been told not to send to a host.
+    /// For each host that drains or is gone, the time at which the gateway was notified.
     drain_notices: BTreeMap<HostId, Ns>,
 }
 
 impl EndpointView {
-    /// Its lines, by host.
+    /// Returns the entries, ordered by host.
     pub fn entries(&self) -> impl Iterator<Item = &ListEntry> {
         self.entries.values()
     }
 }
 
-/// A change on its way to a gateway.
+/// Notification of a gateway about a changed entry.
 #[derive(Clone, Copy, Debug)]
 pub struct Notification {
-    /// When it arrives, unless discovery is silent then.
+    /// Time at which the notification arrives, unless discovery is silent then.
     pub at: Ns,
-    /// Where.
+    /// Gateway to be notified.
     pub gateway: GatewayId,
-    /// What.
+    /// The changed entry.
     pub entry: ListEntry,
 }
 
@@ -70,12 +70,12 @@
     views: Vec<EndpointView>,
     order: u64,
     silent: bool,
-    /// What would have been told while discovery was silent.
+    /// Notifications that came due while discovery was silent.
     withheld: Vec<(GatewayId, ListEntry)>,
 }
 
 impl EndpointList {
-    /// All hosts are known to all gateways, ready and started long ago.
+    /// Creates a list in which all gateways know all hosts, as ready and started before the run.
     pub fn new(
         spec: &ListSpec,
         seed: u64,
@@ -113,12 +113,13 @@
         }
     }
 
-    /// One gateway's list, as it has been told it.
+    /// Returns the list as one gateway knows it.
     pub fn view(&self, gateway: GatewayId) -> &EndpointView {
         &self.views[gateway.0 as usize]
     }
 
-    /// Something has happened to a host: who is told when. What makes no sound is noticed later.
+    /// Records a change of a host and returns the notifications of all gateways. `silent` marks a host that stopped
+    /// without resetting its connections, which discovery detects later.
     pub fn announce(
         &mut self,
         now: Ns,
@@ -152,14 +153,14 @@
         (0..count).map(|g| notification(g, rng)).collect()
     }
 
-    /// A change arrives. True where the gateway is told it now.
+    /// Delivers a notification and returns whether the gateway's list changed.
     pub fn deliver(&mut self, now: Ns, gateway: GatewayId, entry: ListEntry) -> bool {
         if self.silent {
             self.withheld.push((gateway, entry));
             return false;
         }
         let view = &mut self.views[gateway.0 as usize];
-        // Notices of one host may overtake each other: what is older by its order is no news.
+        // Notifications about one host may overtake each other: an older one is ignored.
         if view
             .entries
             .get(&entry.host)
@@ -177,7 +178,7 @@
         true
     }
 
-    /// Discovery falls silent, or speaks again: then what it has kept comes back, to be told now.
+    /// Silences discovery or resumes it. When it resumes, returns the withheld notifications, to be delivered now.
     pub fn set_silent(&mut self, silent: bool) -> Vec<(GatewayId, ListEntry)> {
         self.silent = silent;
         if silent {
@@ -187,12 +188,12 @@
         }
     }
 
-    /// Discovery is silent.
+    /// Returns whether discovery is silent.
     pub fn is_silent(&self) -> bool {
         self.silent
     }
 
-    /// Since when a gateway has known that a host drains or is gone.
+    /// Returns the time at which a gateway was notified that a host drains or is gone; `None` if it knows it as ready.
     pub fn drain_notice_time(&self, gateway: GatewayId, host: HostId) -> Option<Ns> {
         self.views[gateway.0 as usize]
             .drain_notices
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -1,12 +1,12 @@
-//! Events in order of time, and of planning where the time is the same.
+//! A queue of events, ordered by time; events at the same time keep the order in which they were added.
 //!
-//! The heap moves small keys; the events, which may be large, stay where they are.
+//! The heap moves only small keys. The events, which may be large, stay in their slots.
 
 use crate::Ns;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Events that are due some time.
+/// Pending events, each with the time at which it is due.
 #[derive(Clone, Debug)]
 pub struct EventQueue<E> {
     keys: BinaryHeap<Reverse<(Ns, u64, u32)>>,
@@ -27,7 +27,7 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Plans an event.
+    /// Adds an event that is due at `at`.
     pub fn push(&mut self, at: Ns, event: E) {
         let slot = match self.free.pop() {
             Some(slot) => {
@@ -43,12 +43,12 @@
         self.keys.push(Reverse((at, self.order, slot)));
     }
 
-    /// When the next one is due.
+    /// Returns the time at which the next event is due.
     pub fn next(&self) -> Option<Ns> {
         self.keys.peek().map(|Reverse((at, ..))| *at)
     }
 
-    /// The next one that is due by now, with its time.
+    /// Removes and returns the next event that is due by `now`, with its time.
     pub fn pop(&mut self, now: Ns) -> Option<(Ns, E)> {
         self.next().filter(|&at| at <= now)?;
         let Reverse((at, _, slot)) = self.keys.pop()?;
@@ -56,17 +56,17 @@
         self.events[slot as usize].take().map(|event| (at, event))
     }
 
-    /// How many there are.
+    /// Returns the number of pending events.
     pub fn len(&self) -> usize {
         self.keys.len()
     }
 
-    /// How many slots are allocated, in use or free.
+    /// Returns the number of allocated slots, in use or free.
     pub fn slot_count(&self) -> usize {
         self.events.len()
     }
 
-    /// There are none.
+    /// Returns whether no event is pending.
     pub fn is_empty(&self) -> bool {
         self.keys.is_empty()
     }
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -1,45 +1,46 @@
-//! The faults of a day: when each begins and ends and what it strikes, drawn ahead, so that nothing that a gateway does
-//! shifts them. Which hosts are primaries is known only when a fault strikes; those are picked then, by the fleet.
+//! The faults of a day: when each begins and ends, and what it affects. They are drawn before the run, so that they do
+//! not depend on what the gateways do. Only the hosts are chosen by the fleet when a fault begins, because it is not
+//! known earlier which hosts are primaries.
 
 use crate::rng::{Rng, Stream};
 use crate::spec::{Fault, HostSelection, Spec, ValueOrRange};
 use crate::{seconds, GatewayId, HostId, Ns, SetId};
 
-/// A gateway that is killed and starts again; times since the start of the run.
+/// The kill and restart of a gateway. Times are since the start of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GatewayRestart {
     /// The gateway.
     pub gateway: GatewayId,
-    /// When it is killed.
+    /// Time at which the gateway is killed.
     pub down_at: Ns,
-    /// When it starts again.
+    /// Time at which the gateway starts again.
     pub up_at: Ns,
 }
 
-/// A fault of a day.
+/// A fault with the values that were drawn for a day.
 #[derive(Clone, Debug)]
 pub struct PlannedFault {
-    /// What it is, as the settings name it.
+    /// Name of the fault's kind in the settings.
     pub name: &'static str,
-    /// The settings.
+    /// Settings of the fault.
     pub fault: Fault,
-    /// From when, since the start of the run.
+    /// Time at which the fault begins, since the start of the run.
     pub from: Ns,
-    /// Until when.
+    /// Time at which the fault ends, since the start of the run.
     pub until: Ns,
-    /// So many times slower.
+    /// Slowdown factor; 1 for other kinds of faults.
     pub times: f64,
-    /// The part of all traffic that flooded sets draw more.
+    /// Additional traffic to the surging sets, as a fraction of all traffic; 0 for other kinds of faults.
     pub part: f64,
-    /// The flooded sets.
+    /// Sets that receive the additional traffic.
     pub sets: Vec<SetId>,
-    /// Gateways that are killed.
+    /// Restarts of the gateways that are killed.
     pub restarts: Vec<GatewayRestart>,
-    /// Gateways that do not reach the hosts that are cut off, or that are on one side of a split.
+    /// Gateways that cannot reach the hosts that are cut off, or that are on one side of a network partition.
     pub cut: Vec<GatewayId>,
 }
 
-/// The faults of a day.
+/// Draws the faults of the day that `seed` gives, in the order of the settings.
 pub fn plan(spec: &Spec, seed: u64) -> Vec<PlannedFault> {
     spec.faults
         .iter()
@@ -49,7 +50,7 @@
 }
 
 fn draw_fault(spec: &Spec, fault: &Fault, seed: u64, index: u64) -> PlannedFault {
-    // Each has its own numbers, so that one more fault leaves the others as they were.
+    // Each fault has its own stream, so that adding a fault does not change the others.
     let mut rng = Rng::new(
         seed ^ index.wrapping_mul(0x5851_f42d_4c95_7f2d),
         Stream::Faults,
@@ -95,7 +96,7 @@
     }
 }
 
-/// This part of so many, one at least where it is over 0.
+/// Returns the number that a share of `of` comes to, rounded; at least one for a share over 0.
 fn part_of(share: f64, of: u32) -> usize {
     if share <= 0.0 {
         return 0;
@@ -113,7 +114,7 @@
     rng: &mut Rng,
 ) -> Vec<GatewayRestart> {
     let mut struck = rng.choose(part_of(share, gateways), gateways as usize);
-    // In any order, not by their numbers.
+    // Shuffled, because `choose` returns them in ascending order.
     for i in (1..struck.len()).rev() {
         let j = rng.index(i + 1);
         struck.swap(i, j);
@@ -134,7 +135,7 @@
     all
 }
 
-/// Picks hosts: so many of those that are there, a primary with the chance that the settings give.
+/// Chooses hosts of a selection among `hosts`. Each choice takes a primary with the probability that the settings give.
 pub fn pick(
     pick: &HostSelection,
     hosts: &[HostId],
--- a/crates/simulation/src/fleet/elections.rs
+++ b/crates/simulation/src/fleet/elections.rs
@@ -1,4 +1,4 @@
-//! Roles in a replica set: the loss of a primary, its detection, and the election of another.
+//! Roles in a replica set: the loss of a primary, its detection, and the election of a successor.
 
 use super::messages::Output;
 use super::{Event, Fleet};
@@ -7,12 +7,12 @@
 use crate::spec::ValueOrRange;
 use crate::{seconds, HostId, Ns, SetId, MS};
 
-/// No member can take over: looked for again after this time.
+/// Time until the next election if no member is eligible.
 const ELECTION_RETRY_DELAY: Ns = 500 * MS;
 
 impl Fleet {
-    /// A time of a set's roles: drawn by its own numbers, whatever else has been drawn, so that the elections of two
-    /// paired runs take as long.
+    /// Draws a delay of a role change. The random numbers depend only on the seed, the set and the number of its
+    /// earlier draws, so that the elections of two paired runs take equally long.
     pub(super) fn draw_role_delay(&mut self, set: SetId, range: ValueOrRange) -> Ns {
         let replica_set = &mut self.sets[set.0 as usize];
         replica_set.role_delays_drawn += 1;
@@ -20,7 +20,8 @@
         seconds(range.draw(&mut Rng::new(self.random.seed ^ own, Stream::Fleet)))
     }
 
-    /// The primary is heard no more: positions stand still, and after a while it is given up.
+    /// Handles a primary that stops answering: the replicas' positions stop advancing, and the primary is declared lost
+    /// after the detection time.
     pub(super) fn lose_primary(&mut self, now: Ns, set: SetId) {
         let detect = self.draw_role_delay(set, self.spec.sets.detect_s);
         let replica_set = &mut self.sets[set.0 as usize];
@@ -38,7 +39,7 @@
         self.schedule(now + detect, Event::PrimaryTimeout { set, term });
     }
 
-    /// The primary has not come back within the detection time: the set has none, and elects one.
+    /// Declares the primary lost if it has not resumed within the detection time, and schedules an election.
     pub(super) fn declare_primary_lost(&mut self, now: Ns, set: SetId, term: u32) {
         let wait = self.draw_role_delay(set, self.spec.sets.elect_s);
         let replica_set = &mut self.sets[set.0 as usize];
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The member that has most of the log takes over; of equal ones the first.
+    /// Elects the eligible member that has applied the most commits; among equals, the first.
     pub(super) fn elect_primary(&mut self, now: Ns, set: SetId, term: u32) {
         let replica_set = &self.sets[set.0 as usize];
         if replica_set.term != term || replica_set.primary_since.is_some() {
--- a/crates/simulation/src/fleet/fault_effects.rs
+++ b/crates/simulation/src/fleet/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What the planned faults do to the fleet when they begin and when they end.
+//! Effects of the planned faults on the fleet when they begin and when they end.
 
 use super::messages::Output;
 use super::{Event, Fleet};
@@ -9,11 +9,11 @@
 use crate::spec::Fault;
 use crate::{HostId, Ns, MS};
 
-/// A host that has drained is started anew after this time.
+/// Time from the end of a drain, when the host stops, until the host starts again.
 const REPLACEMENT_DELAY: Ns = 1000 * MS;
 
 impl Fleet {
-    /// A planned fault begins: its hosts are picked now, because roles are known only at this moment.
+    /// Begins a planned fault. Its hosts are chosen now, because their roles are not known earlier.
     pub(super) fn begin_fault(&mut self, now: Ns, index: usize) {
         let planned = self.faults.plan[index].clone();
         let hosts = self.pick_hosts(&planned.fault, index);
@@ -35,7 +35,7 @@
         });
     }
 
-    /// The running hosts that a fault strikes. Each fault draws from a stream of its own.
+    /// Chooses the hosts that a fault affects, among the running ones. Each fault draws from its own stream.
     fn pick_hosts(&self, fault: &Fault, index: usize) -> Vec<HostId> {
         let running: Vec<HostId> = self
             .hosts
@@ -90,12 +90,13 @@
         }
     }
 
-    /// A host starts to drain. A primary gives up its role at once; its successor is elected after the hand-over time.
+    /// Starts the drain of a host. A primary gives up its role at once, and its successor is elected after the
+    /// hand-over time.
     fn start_drain(&mut self, now: Ns, host: HostId) {
         self.hosts[host.0 as usize].condition.draining = true;
         self.announce(now, host, ListedState::Draining, false);
         let set = self.hosts[host.0 as usize].set;
-        // Drawn also for a replica, so that the draws of the set do not depend on roles.
+        // Drawn for replicas too, so that the set's later draws do not depend on roles.
         let hand_over = self.draw_role_delay(set, self.spec.sets.switch_s);
         let replica_set = &mut self.sets[set.0 as usize];
         if replica_set.primary != Some(host) {
@@ -112,7 +113,7 @@
         self.schedule(now + hand_over, Event::Elect { set, term });
     }
 
-    /// A planned fault ends: what it changed is undone, or its hosts start again.
+    /// Ends a planned fault: reverts its effects or restarts its hosts.
     pub(super) fn end_fault(&mut self, now: Ns, index: usize) {
         let planned = self.faults.plan[index].clone();
         let hosts = self.faults.struck_hosts.remove(&index).unwrap_or_default();
--- a/crates/simulation/src/fleet/lifecycle.rs
+++ b/crates/simulation/src/fleet/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Starts and stops of hosts, and how gateways learn of them through the host list.
+//! Starts and stops of hosts, and their announcement to the gateways through the endpoint list.
 
 use super::messages::Output;
 use super::{Event, Fleet};
@@ -6,11 +6,11 @@
 use crate::host::State;
 use crate::{GatewayId, HostId, Ns};
 
-/// Commits that a set keeps after every member has applied them, so that reads in work still find theirs.
+/// Number of commits that a set keeps after every member has applied them, because running reads still refer to them.
 const KEPT_COMMITS: u64 = 10_000;
 
 impl Fleet {
-    /// A host stops, in one way or another.
+    /// Stops a running host: it hangs, vanishes, or its process dies, as `how` says.
     pub(super) fn stop_host(&mut self, now: Ns, host: HostId, how: State) {
         let index = host.0 as usize;
         if self.hosts[index].state != State::Up {
@@ -38,7 +38,7 @@
         self.schedule_finish(now, host);
     }
 
-    /// A host that hung goes on with what it holds, in whatever role it has now.
+    /// Resumes a host that hung. It continues its requests, in the role that it has now.
     pub(super) fn resume_host(&mut self, now: Ns, host: HostId) {
         let index = host.0 as usize;
         self.hosts[index].state = State::Up;
@@ -46,7 +46,7 @@
         let set = self.hosts[index].set;
         let replica_set = &mut self.sets[set.0 as usize];
         if replica_set.primary == Some(host) {
-            // Nobody has given it up yet.
+            // The host resumed within the detection time, so it is still the primary.
             replica_set.primary_since = Some(now);
             replica_set.term += 1;
             self.outputs.push(Output::Primary {
@@ -62,7 +62,8 @@
         self.schedule_finish(now, host);
     }
 
-    /// A host's process starts, cold, as a replica, from the data that it had.
+    /// Restarts the process of a host: cold, as a replica, and with the data that it had. A host that died of overload
+    /// is not restarted.
     pub(super) fn restart_host(&mut self, now: Ns, host: HostId) {
         let index = host.0 as usize;
         if self.hosts[index].condition.fallen || self.hosts[index].state == State::Up {
@@ -90,7 +91,8 @@
         self.schedule_finish(now, host);
     }
 
-    /// The list learns of a change of a host; the notices to the gateways are scheduled.
+    /// Enters a change of a host in the endpoint list and schedules the notifications of the gateways. `silent` marks a
+    /// host that stopped without resetting its connections, which discovery detects later.
     pub(super) fn announce(&mut self, now: Ns, host: HostId, listed: ListedState, silent: bool) {
         let (set, since) = (
             self.hosts[host.0 as usize].set,
@@ -101,14 +103,14 @@
         }
     }
 
-    /// A gateway receives a changed entry of the list, unless discovery is silent.
+    /// Delivers a changed entry of the endpoint list to a gateway, unless discovery is silent.
     pub(super) fn deliver_notification(&mut self, now: Ns, gateway: GatewayId, entry: ListEntry) {
         if self.list.deliver(now, gateway, entry) {
             self.outputs.push(Output::ListUpdated { gateway, entry });
         }
     }
 
-    /// A host makes its load report anew, and its set forgets commits that every member has long applied.
+    /// Refreshes the load report of a host. For the set's first member, also truncates the set's log.
     pub(super) fn refresh_report(&mut self, now: Ns, host: HostId) {
         let position = self.position(now, host);
         let set = self.hosts[host.0 as usize].set;
@@ -117,7 +119,7 @@
         if member.state == State::Up {
             member.refresh(&self.spec.hosts, now, position, primary);
         }
-        // Commits that every member has applied are forgotten.
+        // Commits that every member has applied are dropped, except for the last ones.
         let replica_set = &mut self.sets[set.0 as usize];
         let least = replica_set
             .members
--- a/crates/simulation/src/fleet/messages.rs
+++ b/crates/simulation/src/fleet/messages.rs
@@ -1,139 +1,139 @@
-//! What goes between gateways and the fleet: statements and probes in, answers and events out.
+//! Messages between the gateways and the fleet: queries and probe results, answers and events.
 
 use crate::endpoint_list::ListEntry;
 use crate::host::Report;
 use crate::{GatewayId, HostId, Ns, SetId};
 
-/// A statement as a host gets it.
+/// A query as a host receives it.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Names it to its sender.
+    /// Identifies the query to its sender.
     pub ticket: u64,
-    /// Who sent it.
+    /// Gateway that sent the query.
     pub gateway: GatewayId,
-    /// Its class, by its place in the settings.
+    /// Index of the query's class in the settings.
     pub class: usize,
-    /// Its work on a core.
+    /// CPU time that the query needs, in nanoseconds on one core.
     pub work: Ns,
-    /// Its idempotency key, on a write.
+    /// Idempotency key of a write; `None` for a read.
     pub key: Option<u64>,
-    /// The commit that its session has to see; 0 for none.
+    /// Time of the commit that a session read must observe; 0 for none.
     pub mark: Ns,
-    /// When the gateway sent it.
+    /// Time at which the gateway sent the query.
     pub sent: Ns,
-    /// When the request came to the gateway.
+    /// Time at which the request arrived at the gateway.
     pub arrived: Ns,
 }
 
-/// What a host answers.
+/// Answer of a host to a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// A row.
     Row,
-    /// An error; it may have had an effect.
+    /// An error. The query may have had an effect.
     Error,
-    /// Turned away unseen.
+    /// Rejected before execution: the host drains, refuses requests, or has no free slot or queue entry.
     Full,
-    /// Turned away untouched: the wrong role, or too far behind.
+    /// Rejected before execution: the host is not the primary, or lags too far behind.
     Miss,
 }
 
-/// What an answer tells of its host.
+/// Status of the host that an answer carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaStatus {
-    /// It is the primary.
+    /// Whether the host is the primary.
     pub primary: bool,
-    /// Up to when it has applied all commits; of a write that went through, its commit.
+    /// Time up to which the host has applied all commits; for a successful write, the time of its commit.
     pub position: Ns,
 }
 
-/// What became of something handed to a host.
+/// Result of sending a query or a connection request to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The host has it.
+    /// The host received the message and answers later.
     Accepted,
-    /// The connection is reset, or refused.
+    /// The connection is reset or refused.
     Reset,
-    /// The host does not answer, neither now nor later.
+    /// The message gets no response now. A host that hangs handles the query when it resumes.
     NoResponse,
 }
 
-/// What a probe finds.
+/// Result of a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProbeResult {
-    /// A report.
+    /// The host's load report.
     Report(Report),
-    /// No connection.
+    /// The connection is refused.
     Refused,
-    /// The host does not answer, neither now nor later.
+    /// The host does not respond.
     NoResponse,
 }
 
-/// What comes out of a fleet.
+/// Output of a fleet.
 #[derive(Clone, Debug)]
 pub enum Output {
-    /// A host answers.
+    /// A host answers a query.
     Answered {
-        /// What.
+        /// Ticket of the query.
         ticket: u64,
-        /// To whom.
+        /// Gateway that sent the query.
         gateway: GatewayId,
-        /// Who.
+        /// Host that answers.
         host: HostId,
-        /// How.
+        /// The answer.
         answer: Answer,
-        /// What it tells of itself.
+        /// Status of the host.
         note: ReplicaStatus,
-        /// Work that it did for it.
+        /// CPU time that the host spent on the query, in nanoseconds on one core.
         work: Ns,
     },
-    /// A connection is up.
+    /// A connection is established.
     Connected {
-        /// Which.
+        /// Ticket that was passed to [`connect`](super::Fleet::connect).
         ticket: u64,
-        /// To whom.
+        /// Host of the connection.
         host: HostId,
     },
     /// All connections to a host are reset.
     ConnectionsReset {
-        /// Which.
+        /// The host.
         host: HostId,
     },
-    /// A gateway receives a changed entry of the host list.
+    /// A gateway receives a changed entry of the endpoint list.
     ListUpdated {
-        /// Who.
+        /// The gateway.
         gateway: GatewayId,
-        /// What.
+        /// The changed entry.
         entry: ListEntry,
     },
     /// A gateway is killed, or starts again.
     Gateway {
-        /// Which.
+        /// The gateway.
         gateway: GatewayId,
-        /// It starts.
+        /// Whether the gateway starts; otherwise it is killed.
         up: bool,
     },
-    /// This part of the datagrams is lost from now on.
+    /// From now on, this fraction of the datagrams is lost.
     DatagramsLost(f64),
     /// A fault begins or ends.
     Fault {
-        /// Its place in the settings.
+        /// Index of the fault in the settings.
         index: usize,
-        /// It begins.
+        /// Whether the fault begins; otherwise it ends.
         begins: bool,
-        /// The hosts that it strikes.
+        /// Hosts that the fault affects.
         hosts: Vec<HostId>,
     },
     /// A set has another primary, or none.
     Primary {
-        /// Which set.
+        /// The set.
         set: SetId,
-        /// Its primary.
+        /// The new primary; `None` if the set has none.
         host: Option<HostId>,
     },
     /// A cold host was sent too much work and its process died.
     HostOverloaded {
-        /// Which.
+        /// The host.
         host: HostId,
     },
 }
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -1,7 +1,8 @@
-//! The hosts and replica sets of a fleet, with the faults that strike them, as one machine of events.
+//! The hosts and replica sets of a fleet and the faults that affect them, as one discrete-event simulation.
 //!
-//! Its owner hands in what gateways do and the time, asks when something happens next, and takes what comes out, in
-//! order. Events of one moment happen in the order in which they were planned: the same inputs give the same outputs.
+//! The owner passes in the actions of the gateways and the current time, asks for the time of the next event, and takes
+//! the outputs in order. Events at the same time run in the order in which they were scheduled, so that the same inputs
+//! give the same outputs.
 
 mod elections;
 mod fault_effects;
@@ -40,7 +41,7 @@
     Gateway { gateway: GatewayId, up: bool },
 }
 
-/// The hosts and replica sets of a simulation, and what happens to them.
+/// The hosts and replica sets of a simulation, with their pending events.
 pub struct Fleet {
     spec: Spec,
     day: Day,
@@ -56,32 +57,32 @@
     random: RandomSource,
 }
 
-/// The jobs at hosts, by number.
+/// The jobs at all hosts, by job number.
 struct JobTable {
     active: FxHashMap<u64, Job>,
     last_number: u64,
-    /// For each host the number of its last planned finish; an event with an older one is void.
+    /// For each host, the stamp of its last scheduled `Finish` event; one with an older stamp is ignored.
     finish_stamps: Vec<u64>,
-    /// What has come to a host that hangs.
+    /// Queries that arrived at hosts that hang; they are handled when the host resumes.
     at_hung_hosts: HashMap<HostId, Vec<Query>>,
 }
 
-/// The faults of the day, and which of them last.
+/// The faults of the day, and those in effect.
 struct FaultState {
     plan: Vec<PlannedFault>,
-    /// The hosts that each fault strikes, by the fault's place in the plan, while it lasts.
+    /// For each fault in effect, by its index in the plan, the hosts that it affects.
     struck_hosts: HashMap<usize, Vec<HostId>>,
     datagram_loss: f64,
 }
 
-/// The stream of the fleet, and the seed for streams of its parts.
+/// The fleet's stream of random numbers, and the seed from which streams for its parts are derived.
 struct RandomSource {
     seed: u64,
     rng: Rng,
 }
 
 impl Fleet {
-    /// A fleet at the start of its day: all hosts warm, each set's first member its primary.
+    /// Creates a fleet at the start of its day: all hosts are warm, and the first member of each set is its primary.
     pub fn new(spec: &Spec, seed: u64, start: Ns) -> Self {
         let day = Day::draw(spec, seed);
         let plan = faults::plan(spec, seed);
@@ -132,7 +133,8 @@
         fleet
     }
 
-    /// Hosts make their reports each at its own time.
+    /// Makes the first load report of each host and schedules the next one after a random part of the interval, so that
+    /// the hosts do not report at the same time.
     fn schedule_reports(&mut self, start: Ns) {
         for index in 0..self.hosts.len() {
             let host = HostId(index as u32);
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Schedules the begin and the end of each fault, and of each gateway's restart.
+    /// Schedules the beginning and the end of each fault and of each gateway restart.
     fn schedule_faults(&mut self, start: Ns) {
         for (index, planned) in self.faults.plan.clone().into_iter().enumerate() {
             self.schedule(start + planned.from, Event::FaultBegins(index));
@@ -157,53 +159,53 @@
         }
     }
 
-    /// The day that was drawn.
+    /// Returns the day that was drawn for the run.
     pub fn day(&self) -> &Day {
         &self.day
     }
 
-    /// The faults of the day.
+    /// Returns the planned faults of the day.
     pub fn plan(&self) -> &[PlannedFault] {
         &self.faults.plan
     }
 
-    /// The audit.
+    /// Returns the audit of the invariants.
     pub fn invariants(&self) -> &InvariantAudit {
         &self.invariants
     }
 
-    /// The list.
+    /// Returns the endpoint list.
     pub fn list(&self) -> &EndpointList {
         &self.list
     }
 
-    /// The hosts.
+    /// Returns all hosts.
     pub fn hosts(&self) -> &[Host] {
         &self.hosts
     }
 
-    /// A host.
+    /// Returns the host with this ID.
     pub fn host(&self, host: HostId) -> &Host {
         &self.hosts[host.0 as usize]
     }
 
-    /// The members of a set.
+    /// Returns the members of a set.
     pub fn members(&self, set: SetId) -> &[HostId] {
         &self.sets[set.0 as usize].members
     }
 
-    /// A set's primary, while it has one that speaks.
+    /// Returns the primary of a set; `None` while the set has none or its primary does not answer.
     pub fn primary(&self, set: SetId) -> Option<HostId> {
         let set = &self.sets[set.0 as usize];
         set.primary.filter(|_| set.primary_since.is_some())
     }
 
-    /// The part of the datagrams that is lost now.
+    /// Returns the fraction of datagrams that are lost at present.
     pub fn datagram_loss(&self) -> f64 {
         self.faults.datagram_loss
     }
 
-    /// Whether a gateway reaches a host at all.
+    /// Returns whether no fault cuts the host off from the gateway.
     pub fn reaches(&self, gateway: GatewayId, host: HostId) -> bool {
         !self.faults.struck_hosts.iter().any(|(&i, hosts)| {
             let planned = &self.faults.plan[i];
@@ -213,7 +215,7 @@
         })
     }
 
-    /// Whether datagrams of one gateway may reach another at all.
+    /// Returns whether no network partition separates the two gateways.
     pub fn hears(&self, from: GatewayId, to: GatewayId) -> bool {
         !self.faults.struck_hosts.keys().any(|&i| {
             let planned = &self.faults.plan[i];
@@ -222,7 +224,7 @@
         })
     }
 
-    /// How far a host has applied its set's log, in truth.
+    /// Returns the true position of a host: the time up to which it has applied its set's log.
     pub fn position(&mut self, now: Ns, host: HostId) -> Ns {
         let member = &mut self.hosts[host.0 as usize];
         let set = &self.sets[member.set.0 as usize];
@@ -232,12 +234,12 @@
         member.applier.position(now, set.source(&self.day))
     }
 
-    /// When something happens next.
+    /// Returns the time of the next event.
     pub fn next(&self) -> Option<Ns> {
         self.queue.next()
     }
 
-    /// Lets happen what is due by now, in order, and hands out all that has come of it and of what was handed in.
+    /// Runs all events that are due by `now`, in order, and returns their outputs and those of the preceding calls.
     pub fn advance(&mut self, now: Ns) -> Vec<Output> {
         while let Some((at, event)) = self.queue.pop(now) {
             self.handle_event(at, event);
@@ -297,7 +299,7 @@
         }
     }
 
-    /// Time since the start of the run.
+    /// Converts a time on the clock of the run to the time since the start of the run.
     pub fn since_start(&self, now: Ns) -> Ns {
         now - self.start
     }
--- a/crates/simulation/src/fleet/queries.rs
+++ b/crates/simulation/src/fleet/queries.rs
@@ -1,4 +1,4 @@
-//! Connections, probes and statements at a host: from their arrival to their answer.
+//! Connections, probes and queries at a host, from arrival to answer.
 
 use super::messages::{Answer, Delivery, Output, ProbeResult, Query, ReplicaStatus};
 use super::replica_set::KeyedWrite;
@@ -8,32 +8,32 @@
 use crate::spec::{Checks, Need};
 use crate::{ms, seconds, GatewayId, HostId, Ns, MS};
 
-/// A read that waits for its copy to catch up looks again this often.
+/// Interval at which a read that waits for its host to catch up checks the position again.
 const LAG_RECHECK_INTERVAL: Ns = 2 * MS;
 
-/// The commits that a read found applied when it began, and those that it needed.
+/// Number of commits that the host had applied when a query began, and number that the query needed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DataVersion {
     applied: u64,
     needed: u64,
 }
 
-/// Whether a read comes to its host now, or has waited there for the data to catch up.
+/// Whether a query has just arrived at its host, or has waited there for the host to catch up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     Arrival,
     Recheck,
 }
 
-/// What a host works on.
+/// Kind of work that a job is.
 pub(super) enum JobKind {
     Query {
         query: Query,
-        /// The place of its key among those remembered.
+        /// Index of the write's entry among the remembered entries of its key.
         key_at: usize,
-        /// Commits that its data held when it began, and those that it needed.
+        /// Commits that were applied when the query began, and those that it needed.
         data: DataVersion,
-        /// It stops its host from applying the log.
+        /// Whether the query stops its host from applying the log.
         blocks: bool,
     },
     Connect {
@@ -48,7 +48,7 @@
 }
 
 impl Fleet {
-    /// A connection is asked for. When it is up, [`Output::Connected`] tells.
+    /// Opens a connection. If accepted, [`Output::Connected`] reports when it is established.
     pub fn connect(&mut self, now: Ns, gateway: GatewayId, host: HostId, ticket: u64) -> Delivery {
         if !self.reaches(gateway, host) {
             return Delivery::NoResponse;
@@ -72,7 +72,7 @@
         Delivery::Accepted
     }
 
-    /// A connection of a host's earlier or present process is closed.
+    /// Closes a connection to a host; one of an earlier epoch is ignored.
     pub fn close(&mut self, now: Ns, host: HostId, epoch: u32) {
         let member = &mut self.hosts[host.0 as usize];
         if member.epoch == epoch && member.held.connections > 0 {
@@ -82,7 +82,7 @@
         }
     }
 
-    /// A probe: its report, at once. It costs the host work.
+    /// Probes a host and returns its report at once. The probe costs the host CPU time.
     pub fn probe(&mut self, now: Ns, gateway: GatewayId, host: HostId) -> ProbeResult {
         if !self.reaches(gateway, host) {
             return ProbeResult::NoResponse;
@@ -101,7 +101,7 @@
         ProbeResult::Report(self.hosts[host.0 as usize].report)
     }
 
-    /// A statement comes, on a connection of this epoch.
+    /// Sends a query to a host, on a connection of the given epoch.
     pub fn query(&mut self, now: Ns, host: HostId, epoch: u32, query: Query) -> Delivery {
         if let Some(told) = self.list.drain_notice_time(query.gateway, host) {
             let grace = ms(self.spec.rules.drain_grace_ms);
@@ -163,7 +163,8 @@
         Delivery::Accepted
     }
 
-    /// A read whose data are recent enough gets a slot or waits for one; another one waits to be, or is turned away.
+    /// Admits a query. If the host has applied the commits that it needs, the query gets a slot, waits for one, or is
+    /// rejected if the queue is full. Otherwise it waits until `until` for the host to catch up, and is then rejected.
     pub(super) fn admit_query(&mut self, now: Ns, job: u64, until: Ns, admission: Admission) {
         let Some(Job {
             host,
@@ -203,7 +204,7 @@
         }
     }
 
-    /// The commits that a host has applied, and the position that a read needs.
+    /// Returns the number of commits that a host has applied, and the position that a query needs.
     pub(super) fn applied_and_needed(&mut self, now: Ns, host: HostId, query: &Query) -> (u64, Ns) {
         let class = &self.spec.classes[query.class];
         let needed = match class.need {
@@ -221,7 +222,7 @@
         (member.applier.applied(), needed)
     }
 
-    /// A statement gets its slot.
+    /// Starts a query in a slot.
     pub(super) fn start_query(&mut self, now: Ns, job: u64) {
         let Some(Job {
             host,
@@ -260,7 +261,7 @@
         self.schedule_finish(now, host);
     }
 
-    /// Work beside the slots.
+    /// Starts a job that occupies no slot: a connection or a probe.
     pub(super) fn start_side_job(&mut self, now: Ns, host: HostId, work: Ns, kind: JobKind) {
         self.jobs.last_number += 1;
         self.jobs
@@ -272,7 +273,7 @@
         self.schedule_finish(now, host);
     }
 
-    /// Work arrives at a host, taken or not: a cold one may fall over.
+    /// Records work that arrives at a host, accepted or rejected. A cold host that is offered too much dies.
     pub(super) fn record_offered_work(&mut self, now: Ns, host: HostId, work: Ns) {
         let member = &mut self.hosts[host.0 as usize];
         let load = member.offered(&self.spec.hosts, now, work);
@@ -366,7 +367,7 @@
             self.invariants.read(now, host, data.applied, data.needed);
             return self.send_answer(now, host, query, Answer::Row, query.work);
         }
-        // A write that is still held when the role is lost ends in an error, and has had no effect.
+        // A write that is still running when its host loses the role of primary ends in an error and has no effect.
         if set.primary != Some(host) || set.primary_since.is_none() {
             return self.send_answer(now, host, query, Answer::Error, query.work);
         }
--- a/crates/simulation/src/fleet/replica_set.rs
+++ b/crates/simulation/src/fleet/replica_set.rs
@@ -1,4 +1,4 @@
-//! One replica set: its members, its primary, its commits and the idempotency keys that it remembers.
+//! One replica set: its members, its primary, its log of commits and the idempotency keys that it remembers.
 
 use crate::replication_log::{PrimarySignal, ReplicationLog, Source};
 use crate::spec::Day;
@@ -6,10 +6,10 @@
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// Idempotency keys are kept for this many windows. Without a bound the keys of a whole day would fill the memory.
+/// Retention time of idempotency keys, in windows. Without a bound, the keys of a whole run would exhaust the memory.
 const KEY_RETENTION_WINDOWS: Ns = 20;
 
-/// A keyed write that a set remembers: when it first came, and its commit once it is applied.
+/// A keyed write that a set remembers: the time of its first arrival, and of its commit once it is applied.
 #[derive(Clone, Debug)]
 pub(super) struct KeyedWrite {
     pub(super) first_arrival: Ns,
@@ -19,12 +19,12 @@
 pub(super) struct ReplicaSet {
     pub(super) members: Vec<HostId>,
     pub(super) primary: Option<HostId>,
-    /// Since when there is a primary that speaks; where there is none, positions stand still where they stood.
+    /// Time since which the set has a primary that answers; `None` while it has none. Positions do not advance then.
     pub(super) primary_since: Option<Ns>,
     pub(super) last_position: Ns,
-    /// Grows with each change of the primary.
+    /// Incremented at each change of the primary; scheduled events of an earlier term are ignored.
     pub(super) term: u32,
-    /// Times that were drawn for it.
+    /// Number of delays drawn for role changes of the set.
     pub(super) role_delays_drawn: u32,
     pub(super) log: ReplicationLog,
     pub(super) keys: FxHashMap<u64, Vec<KeyedWrite>>,
@@ -32,7 +32,7 @@
 }
 
 impl ReplicaSet {
-    /// A set without members or commits.
+    /// Creates a set without members or commits.
     pub(super) fn new(start: Ns) -> Self {
         ReplicaSet {
             members: Vec::new(),
@@ -60,10 +60,10 @@
         }
     }
 
-    /// Notes a keyed write that arrives now and returns the place of its entry among those of its key.
+    /// Records the arrival of a keyed write and returns the index of its entry among the entries of its key.
     ///
-    /// A repeat within `window` of the first arrival belongs to that one's entry and is not applied again; a later one
-    /// is a write like any other and gets an entry of its own.
+    /// A repeat within `window` after the first arrival shares the entry of the first copy and is not applied again. A
+    /// later repeat is treated as a new write and gets its own entry.
     pub(super) fn remember_key(&mut self, now: Ns, key: u64, window: Ns) -> usize {
         let entries = self.keys.entry(key).or_default();
         if entries
@@ -81,7 +81,7 @@
         place
     }
 
-    /// Drops the keys whose last arrival is longer ago than `retention`.
+    /// Removes the keys whose last entry is older than `retention`.
     fn forget_old_keys(&mut self, now: Ns, retention: Ns) {
         while let Some(&(arrived, key)) = self.key_order.front() {
             if arrived + retention >= now {
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -1,4 +1,4 @@
-//! One database host: its cores, slots and waiting room, its connections, its start from cold, and what pushes it over.
+//! One database host: its cores, request slots and queue, its connections, its cold start, and its failure by overload.
 
 use crate::cpu::{Cpu, Ramp};
 use crate::load_window::LoadWindow;
@@ -7,101 +7,101 @@
 use crate::{seconds, HostId, Ns, SetId};
 use std::collections::VecDeque;
 
-/// Whether a host's machine and process run.
+/// State of a host's machine and process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// They do.
+    /// Machine and process run.
     Up,
-    /// The machine has vanished: no reset, no answer; what it held is lost.
+    /// The machine is gone: it sends neither resets nor answers, and its connections and requests are lost.
     Vanished,
-    /// The machine hangs: no reset, no answer; what it holds goes on when it comes back.
+    /// The machine hangs: it sends neither resets nor answers, and continues its requests when it resumes.
     Hung,
-    /// The process is dead, and its connections are reset; it fell over, or was struck.
+    /// The process is dead, because of overload or a fault, and its connections are reset.
     Down,
 }
 
-/// What a host says of itself when probed; as old as its last refresh.
+/// Load report that a host returns to a probe, as of its last refresh.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Up to when it has applied all commits.
+    /// Time up to which the host has applied all commits.
     pub position: Ns,
-    /// Whether it is the primary.
+    /// Whether the host is the primary.
     pub primary: bool,
-    /// How busy its cores are, from 0 to 1.
+    /// Utilization of the cores, from 0 to 1.
     pub util: f64,
 }
 
 /// A database host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Which.
+    /// Identifies the host.
     pub id: HostId,
-    /// Its set.
+    /// Set of which the host is a member.
     pub set: SetId,
-    /// Whether it runs.
+    /// State of the machine and the process.
     pub state: State,
-    /// Grows with each start: connections of an earlier one are void.
+    /// Incremented at each start of the process; connections of an earlier epoch are invalid.
     pub epoch: u32,
-    /// When its process started; 0 for long ago.
+    /// Time at which the process started; 0 if it started before the run.
     pub started: Ns,
-    /// Its cores.
+    /// The host's cores and the jobs on them.
     pub cpu: Cpu,
-    /// Its copy of the log.
+    /// The thread that applies the set's log.
     pub applier: LogApplier,
-    /// What it holds.
+    /// Connections and requests at the host.
     pub held: HeldWork,
-    /// What is wrong with it.
+    /// Drain and faults in effect.
     pub condition: Condition,
-    /// What it says when probed.
+    /// Last load report.
     pub report: Report,
     window: LoadWindow,
     usage: Usage,
 }
 
-/// What a host holds: connections and requests.
+/// Connections and requests at a host.
 #[derive(Clone, Debug, Default)]
 pub struct HeldWork {
-    /// Connections open to it.
+    /// Number of open connections.
     pub connections: u32,
-    /// Requests in work.
+    /// Number of requests that occupy a slot.
     pub running: u32,
-    /// Jobs of the requests that wait for a slot, oldest first.
+    /// Job numbers of the requests that wait for a slot, oldest first.
     pub waiting: VecDeque<u64>,
-    /// Reads that wait for its copy to catch up.
+    /// Number of reads that wait for the host to apply the commits that they need.
     pub lagging: u32,
-    /// Long reads in work that stop its copy.
+    /// Number of running long reads that stop the applying of the log.
     pub blocking: u32,
 }
 
-/// What is wrong with a host.
+/// Drain and faults in effect at a host.
 #[derive(Clone, Debug)]
 pub struct Condition {
-    /// It finishes its work and takes nothing new.
+    /// Whether the host drains: it finishes its requests and rejects new ones.
     pub draining: bool,
-    /// It turns everything away.
+    /// Whether the host rejects all requests.
     pub refusing: bool,
-    /// Part of its answers that are errors.
+    /// Fraction of the answers that are errors.
     pub errors: f64,
-    /// Its process fell over, and stays down.
+    /// Whether the process died of overload; it is not restarted then.
     pub fallen: bool,
-    /// So many times slower, for each reason that lasts.
+    /// Product of the slowdown factors of all faults in effect.
     slow: f64,
 }
 
-/// What its cores and its applying thread had done at the last report.
+/// Work that the cores and the applying thread had done at the last report.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     reported_at: Ns,
-    /// Core time used, in nanoseconds of work.
+    /// CPU time used, in nanoseconds on one core.
     cpu_used: f64,
-    /// Time that the applying thread was busy, in nanoseconds.
+    /// Time for which the applying thread was busy, in nanoseconds.
     applier_busy: f64,
-    /// Cores that the applying thread has taken since the report before.
+    /// Mean number of cores that the applying thread used in the last report interval.
     applying: f64,
 }
 
 impl Host {
-    /// A warm host.
+    /// Creates a running, warm host; `tip` is the length of its load window.
     pub fn new(
         id: HostId,
         set: SetId,
@@ -137,39 +137,41 @@
         }
     }
 
-    /// Requests that it holds.
+    /// Returns the number of requests at the host: running, queued for a slot, or waiting for the log.
     pub fn held_requests(&self) -> u32 {
         self.held.running + self.held.waiting.len() as u32 + self.held.lagging
     }
 
-    /// It has not warmed up since its start.
+    /// Returns whether the host has not yet warmed up since its last start.
     pub fn cold(&self, now: Ns) -> bool {
         now < self.cpu.ramp().end()
     }
 
-    /// What it can do now, in cores, whatever it holds.
+    /// Returns the current capacity in cores, regardless of the number of requests and connections.
     pub fn can_do(&self, spec: &HostSpec, now: Ns) -> f64 {
         spec.cores * self.cpu.ramp().at(now) / self.condition.slow
     }
 
-    /// The highest load of any window as a multiple of what it could do then: in all, and while it was cold.
+    /// Returns the highest loads of the window as multiples of the capacity at the time: overall, and while cold.
     pub fn peaks(&self) -> (f64, f64) {
         (self.window.peak, self.window.cold_peak)
     }
 
-    /// Work arrives, taken or turned away: the load of the window that ends now.
+    /// Records work that arrives, accepted or rejected, and returns the load of the window that ends now, as a multiple
+    /// of the capacity.
     pub fn offered(&mut self, spec: &HostSpec, now: Ns, work: Ns) -> f64 {
         let (can, cold) = (self.can_do(spec, now), self.cold(now));
         self.window.add(now, work as f64, can, cold)
     }
 
-    /// Slower by this factor, or by its inverse once that is over.
+    /// Multiplies the slowdown by `times`: the factor of a fault when it begins, and its inverse when it ends.
     pub fn slow_by(&mut self, spec: &HostSpec, now: Ns, times: f64) {
         self.condition.slow = (self.condition.slow * times).max(0.01);
         self.retune(spec, now);
     }
 
-    /// What it holds has changed, and with it how efficient it is.
+    /// Recomputes the capacity, which depends on the numbers of requests and connections, on the applier's use of the
+    /// cores and on the slowdown. To be called after each change of these.
     pub fn retune(&mut self, spec: &HostSpec, now: Ns) {
         let crowd = (f64::from(self.held_requests()) / spec.cores - spec.crowded_from).max(0.0);
         let crowded = (1.0 - spec.crowded_loss * crowd).max(0.25);
@@ -183,7 +185,7 @@
         );
     }
 
-    /// Makes its report anew.
+    /// Refreshes the load report from the usage since the last one.
     pub fn refresh(&mut self, spec: &HostSpec, now: Ns, position: Ns, primary: bool) {
         let last = self.usage;
         let time = (now - last.reported_at).max(1) as f64;
@@ -202,7 +204,7 @@
         self.retune(spec, now);
     }
 
-    /// All that it held is lost.
+    /// Drops all connections and requests.
     pub fn lose_all(&mut self, now: Ns) {
         self.cpu.clear(now);
         self.held.waiting.clear();
@@ -211,7 +213,7 @@
         self.held.connections = 0;
     }
 
-    /// Its process starts, cold.
+    /// Starts the process cold: with the fraction `part` of its capacity, which rises to all of it over `warm_in`.
     pub fn start(&mut self, spec: &HostSpec, now: Ns, part: f64, warm_in: Ns) {
         self.lose_all(now);
         self.state = State::Up;
@@ -228,13 +230,13 @@
                 length: warm_in,
             },
         );
-        // What came before its start was work of another process.
+        // Work from before the start was offered to the previous process.
         self.window.clear();
         self.retune(spec, now);
     }
 }
 
-/// The window's length.
+/// Converts the length of the load window from seconds, with a minimum of 1 ns.
 pub fn tip(seconds_long: f64) -> Ns {
     seconds(seconds_long).max(1)
 }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -1,16 +1,17 @@
-//! The audit: what happened to writes and reads, counted from what is true and not from what a gateway or a host says.
+//! The audit of the invariants: counts violations from the true state of the model, not from what gateways or hosts
+//! report.
 
 use crate::{GatewayId, HostId, Ns};
 use std::collections::HashMap;
 
-/// Something that must never happen, and when it did.
+/// A violation of an invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// When.
+    /// Time of the violation.
     pub at: Ns,
-    /// What.
+    /// Invariant that was violated.
     pub kind: ViolationKind,
-    /// In words: which host, which gateway, which key.
+    /// Description, with the host, gateway or key.
     pub what: String,
 }
 
@@ -21,13 +22,13 @@
     AppliedTwice,
     /// A read was answered from data older than its class allows.
     StaleRead,
-    /// A host that drains or is gone was sent something new.
+    /// A gateway sent a new query to a host that drains or is gone, after the grace period.
     SentToDrained,
-    /// A cold host was sent so much that it fell over.
+    /// A cold host was sent so much work that its process died.
     KnockedOver,
 }
 
-/// Most violations that are kept in words; all are counted.
+/// Maximum number of violations that are kept with a description. All violations are counted.
 const MAX_DESCRIBED_VIOLATIONS: usize = 100;
 
 /// The audit of one run.
@@ -40,7 +41,7 @@
 }
 
 impl InvariantAudit {
-    /// A keyed write is applied.
+    /// Records that a keyed write was applied.
     pub fn applied(&mut self, at: Ns, key: u64) {
         let times = self.applied.entry(key).or_insert(0);
         *times += 1;
@@ -53,17 +54,18 @@
         }
     }
 
-    /// When a write of this key was first applied.
+    /// Returns the time at which a write with this key was first applied.
     pub fn commit(&self, key: u64) -> Option<Ns> {
         self.commits.get(&key).copied()
     }
 
-    /// Different writes that have been applied.
+    /// Returns the number of distinct keyed writes that have been applied.
     pub fn writes(&self) -> u64 {
         self.applied.len() as u64
     }
 
-    /// A read was answered by a host that had applied so many commits of those that it needed.
+    /// Records that a host answered a read. `had` is the number of commits that it had applied, `needed` the number
+    /// that the read needed.
     pub fn read(&mut self, at: Ns, host: HostId, had: u64, needed: u64) {
         if had < needed {
             self.record(at, ViolationKind::StaleRead, || {
@@ -72,7 +74,8 @@
         }
     }
 
-    /// A gateway sent something to a host so long after it was told of its drain or end.
+    /// Records that a gateway sent a query at `at` to a host of whose drain or end it was notified at `told`. It is a
+    /// violation if more than `grace` lies between the two.
     pub fn sent(&mut self, at: Ns, gateway: GatewayId, host: HostId, told: Ns, grace: Ns) {
         if at > told + grace {
             self.record(at, ViolationKind::SentToDrained, || {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// A cold host fell over.
+    /// Records that a cold host died of overload.
     pub fn knocked_over(&mut self, at: Ns, host: HostId, load: f64) {
         self.record(at, ViolationKind::KnockedOver, || {
             format!("host {} at {load:.2} of what it can do", host.0)
@@ -103,12 +106,12 @@
         }
     }
 
-    /// How many of a kind there were.
+    /// Returns the number of violations of a kind.
     pub fn count(&self, kind: ViolationKind) -> u64 {
         self.counts.get(&kind).copied().unwrap_or(0)
     }
 
-    /// The first hundred, in order.
+    /// Returns the first 100 violations, in order.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,9 +1,9 @@
-//! A model of what the gateway serves: database hosts, sets of a primary and its replicas, clients, the list of hosts,
-//! and what goes wrong with them. No I/O, no clock, and a seeded generator: whoever runs it hands in the time. The
-//! testbed runs it in virtual time round the decision module, and in real time behind sockets.
+//! A model of the environment of the gateways: database hosts, replica sets, clients, the endpoint list, and faults.
+//! The model does no I/O and reads no clock: the caller passes in the current time, and all random numbers come from
+//! seeded generators. The testbed runs it in virtual time around the decision module, and in real time behind sockets.
 //!
-//! It owns the true state of hosts and data, and the audit of the invariants that a gateway must keep. Of gateways it
-//! knows only their numbers.
+//! The model holds the true state of hosts and data, and audits the invariants that the gateways must keep. It knows
+//! the gateways only by their IDs.
 
 pub mod clients;
 pub mod cpu;
@@ -19,32 +19,32 @@
 pub mod rng;
 pub mod spec;
 
-/// A point in time on the runner's clock, or a length of time, in nanoseconds.
+/// A point in time on the clock of the run, or a duration, in nanoseconds.
 pub type Ns = i64;
 
-/// A millisecond.
+/// One millisecond.
 pub const MS: Ns = 1_000_000;
-/// A second.
+/// One second.
 pub const SECOND: Ns = 1_000_000_000;
 
-/// Milliseconds, rounded to the nanosecond.
+/// Converts milliseconds to nanoseconds, rounded to the nearest.
 pub fn ms(value: f64) -> Ns {
     (value * MS as f64).round() as Ns
 }
 
-/// Seconds, rounded to the nanosecond.
+/// Converts seconds to nanoseconds, rounded to the nearest.
 pub fn seconds(value: f64) -> Ns {
     (value * SECOND as f64).round() as Ns
 }
 
-/// A database host, by its place in the fleet; never given out twice.
+/// Identifies a database host: its index in the fleet. An ID is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct HostId(pub u32);
 
-/// A set of one primary and its replicas, by its place in the fleet.
+/// Identifies a replica set (one primary and its replicas): its index in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SetId(pub u32);
 
-/// A gateway, by its number.
+/// Identifies a gateway: its number, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct GatewayId(pub u32);
--- a/crates/simulation/src/load_window.rs
+++ b/crates/simulation/src/load_window.rs
@@ -1,25 +1,25 @@
-//! The load of a host within the last few seconds, and its highest values.
+//! The load of a host over a sliding window of a few seconds, and its peaks.
 
 use crate::Ns;
 use std::collections::VecDeque;
 
-/// The work that came within the last few seconds, against what the host can do.
+/// The work that arrived within a sliding window, relative to the capacity of the host.
 #[derive(Clone, Debug)]
 pub struct LoadWindow {
     length: Ns,
     buckets: VecDeque<(Ns, f64)>,
     sum: f64,
-    /// The highest multiple so far.
+    /// Highest load so far, as a multiple of the capacity.
     pub peak: f64,
-    /// The highest multiple while the host was cold.
+    /// Highest load while the host was cold, as a multiple of the capacity.
     pub cold_peak: f64,
 }
 
-/// A window is kept in so many buckets of time: its load is exact to a sixtieth of its length.
+/// Number of buckets of a window. The start of the window is accurate to a sixtieth of its length.
 const BUCKETS: Ns = 60;
 
 impl LoadWindow {
-    /// An empty window of this length.
+    /// Creates an empty window of this length.
     pub fn new(length: Ns) -> Self {
         LoadWindow {
             length,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Work arrives: what all of the window comes to, as a multiple of what the host can do now.
+    /// Adds work that arrives and returns the load of the window, as a multiple of the current capacity.
     pub fn add(&mut self, now: Ns, work: f64, capacity: f64, cold: bool) -> f64 {
         let step = (self.length / BUCKETS).max(1);
         let bucket = now / step * step;
@@ -54,7 +54,7 @@
         load
     }
 
-    /// Forgets the work that came so far; the peaks stay.
+    /// Removes all work from the window; the peaks stay.
     pub fn clear(&mut self) {
         self.buckets.clear();
         self.sum = 0.0;
--- a/crates/simulation/src/replication_log.rs
+++ b/crates/simulation/src/replication_log.rs
@@ -1,12 +1,13 @@
-//! A set's log of commits, and how far each replica has applied it: one thread, one commit after the other.
+//! The log of commits of a replica set, and the progress of the thread with which each replica applies it, one commit
+//! after the other.
 //!
-//! A position is a time up to which all commits have been applied; a primary stands at the present. Nothing is stepped:
-//! a replica is brought forward when somebody asks, or when what it is bound by changes.
+//! A position is the time up to which all commits have been applied; that of a primary is the current time. The model
+//! has no time steps: a replica is advanced when its position is read, or when its speed or its source changes.
 
 use crate::Ns;
 use std::collections::VecDeque;
 
-/// The commits of one set, in order, by the number that each has for ever.
+/// The commits of one set, in order. Each commit has a number, which truncation does not change.
 #[derive(Clone, Debug, Default)]
 pub struct ReplicationLog {
     base: u64,
@@ -14,31 +15,31 @@
 }
 
 impl ReplicationLog {
-    /// The number of the next commit.
+    /// Returns the number that the next commit gets.
     pub fn end(&self) -> u64 {
         self.base + self.commits.len() as u64
     }
 
-    /// Adds a commit. Two at one moment keep their order.
+    /// Appends a commit and returns its number. Commits at the same time keep their order.
     pub fn push(&mut self, at: Ns) -> u64 {
         let at = self.commits.back().map_or(at, |&last| last.max(at));
         self.commits.push_back(at);
         self.end() - 1
     }
 
-    /// When a commit was made; nothing for those that are forgotten or not there yet.
+    /// Returns the time of a commit; `None` if it was dropped or does not exist yet.
     pub fn time(&self, number: u64) -> Option<Ns> {
         self.commits
             .get(usize::try_from(number.checked_sub(self.base)?).ok()?)
             .copied()
     }
 
-    /// The number of commits made at or before a time.
+    /// Returns the number of commits made at or before a time.
     pub fn until(&self, at: Ns) -> u64 {
         self.base + self.commits.partition_point(|&c| c <= at) as u64
     }
 
-    /// Forgets the commits before a number.
+    /// Drops the commits before a number.
     pub fn forget(&mut self, before: u64) {
         let count = before
             .saturating_sub(self.base)
@@ -48,19 +49,19 @@
     }
 }
 
-/// What the primary of a set is heard to do: until when, and since when.
+/// State of a set's primary, as its replicas observe it.
 #[derive(Clone, Copy, Debug)]
 pub struct PrimarySignal {
-    /// There is one since then; nothing where there is none.
+    /// Time since which there is a primary; `None` if there is none.
     pub since: Option<Ns>,
-    /// Where positions stood when the last one was lost.
+    /// Position at which the last primary was lost.
     pub stood: Ns,
-    /// The log's way to a replica.
+    /// Time from a commit until a replica receives it.
     pub ship: Ns,
 }
 
 impl PrimarySignal {
-    /// How far a replica that has applied all knows the log to reach.
+    /// Returns the position of a replica that has applied everything it received.
     fn at(&self, now: Ns) -> Ns {
         match self.since {
             Some(since) if now - self.ship >= since => (now - self.ship).max(self.stood),
@@ -69,37 +70,37 @@
     }
 }
 
-/// What a replica follows.
+/// The log that a replica applies.
 #[derive(Clone, Copy, Debug)]
 pub struct Source<'a> {
-    /// The set's commits.
+    /// Commits of the set.
     pub log: &'a ReplicationLog,
-    /// The primary.
+    /// State of the primary.
     pub primary_signal: PrimarySignal,
-    /// Time to apply one commit.
+    /// Time that a replica needs to apply one commit.
     pub cost: Ns,
 }
 
-/// A replica's one applying thread.
+/// The thread of a replica that applies the log.
 #[derive(Clone, Debug)]
 pub struct LogApplier {
     at: Ns,
-    /// The commit that it applies or waits for.
+    /// Number of the commit that the thread applies or waits for.
     next: u64,
-    /// What is left of it, in nanoseconds at its usual pace.
+    /// Remaining work of that commit, in nanoseconds at normal speed.
     left: f64,
-    /// So many times slower than usual.
+    /// Slowdown factor; 1 is normal speed.
     slow: f64,
-    /// Long reads that stop it, and a silence counts as one.
+    /// Number of reasons for which the thread is stopped: one for each long read, and one if the host does not run.
     stops: u32,
-    /// Its position never goes back.
+    /// Highest position so far: a position never goes back.
     position: Ns,
-    /// Time that it was busy.
+    /// Time for which the thread was busy, in nanoseconds.
     busy: f64,
 }
 
 impl LogApplier {
-    /// One that has applied all.
+    /// Creates a thread that has applied the whole log.
     pub fn new(now: Ns, from: Source<'_>) -> Self {
         LogApplier {
             at: now,
@@ -112,23 +113,23 @@
         }
     }
 
-    /// Commits that it has applied, by the number of the next one.
+    /// Returns the number of applied commits.
     pub fn applied(&self) -> u64 {
         self.next
     }
 
-    /// How long it has been busy, in nanoseconds.
+    /// Returns the time for which the thread was busy, in nanoseconds.
     pub fn busy(&self) -> f64 {
         self.busy
     }
 
-    /// Applies at a pace so many times slower, from now on.
+    /// Sets the slowdown factor, from `now` on.
     pub fn slow(&mut self, now: Ns, from: Source<'_>, times: f64) {
         self.advance(now, from);
         self.slow = times.max(0.001);
     }
 
-    /// One more reason to stand still, or one less.
+    /// Adds a reason to stop the thread, or removes one. The thread runs while there is none.
     pub fn stop(&mut self, now: Ns, from: Source<'_>, stop: bool) {
         self.position(now, from);
         self.stops = if stop {
@@ -138,14 +139,14 @@
         };
     }
 
-    /// Has all that there is: it becomes the primary, or copies it.
+    /// Marks the whole log as applied, for a host that gains or loses the role of primary.
     pub fn catch_up(&mut self, now: Ns, from: Source<'_>) {
         self.at = now;
         self.next = from.log.end();
         self.left = from.cost as f64;
     }
 
-    /// Applies what can be applied by now. What a stop interrupts goes on from where it was.
+    /// Applies the commits that can be applied by `now`. A commit that a stop interrupts continues where it was.
     pub fn advance(&mut self, now: Ns, from: Source<'_>) {
         while self.at < now {
             let Some(commit) = from.log.time(self.next).filter(|_| self.stops == 0) else {
@@ -171,12 +172,12 @@
         }
     }
 
-    /// Up to when it has applied all commits.
+    /// Returns the time up to which the replica has applied all commits.
     pub fn position(&mut self, now: Ns, from: Source<'_>) -> Ns {
         self.advance(now, from);
         if self.stops == 0 {
             let known = from.primary_signal.at(now);
-            // What it has not applied it has not reached; also where another commit of that moment is applied.
+            // The position stays before the next commit, even if another commit at the same time is applied.
             let reached = from
                 .log
                 .time(self.next)
--- a/crates/simulation/src/rng.rs
+++ b/crates/simulation/src/rng.rs
@@ -1,29 +1,29 @@
-//! Random numbers: one seed, one stream for each concern, so that what one concern draws does not shift another's.
-//! Paired runs of two settings then see the same arrivals and the same faults.
+//! Random numbers: each purpose has its own stream, derived from the seed, so that the draws for one purpose do not
+//! affect those for another. Two runs with one seed and different settings thus see the same arrivals and faults.
 
 use crate::Ns;
 use rand::{RngExt, SeedableRng};
 use rand_distr::{Distribution, Exp1, LogNormal, Poisson};
 use rand_pcg::Pcg64Mcg;
 
-/// What a stream of random numbers is for.
+/// Purpose of a stream of random numbers.
 #[derive(Clone, Copy, Debug)]
 pub enum Stream {
-    /// What the day is drawn from: speeds, delays, sizes.
+    /// Values of the day: speeds, delays and sizes.
     Day = 1,
-    /// Which requests come, and when.
+    /// Arrivals of requests.
     Arrivals = 2,
-    /// What clients do after an answer.
+    /// Retries of clients.
     Clients = 3,
-    /// Elections, hand-overs, errors of hosts.
+    /// Elections, hand-overs and errors of hosts.
     Fleet = 4,
-    /// Which hosts and gateways a fault strikes.
+    /// Times of faults, and the hosts and gateways that they affect.
     Faults = 5,
-    /// Times on the network, lost datagrams.
+    /// Network delays and lost datagrams.
     Network = 6,
-    /// When the list is told.
+    /// Delays of endpoint-list notifications.
     EndpointList = 7,
-    /// Seeds of the gateways.
+    /// Seeds for the gateways.
     Gateways = 8,
 }
 
@@ -32,47 +32,47 @@
 pub struct Rng(Pcg64Mcg);
 
 impl Rng {
-    /// The stream of a seed for one concern.
+    /// Creates the stream for one purpose from a seed.
     pub fn new(seed: u64, stream: Stream) -> Self {
-        // Neighbouring seeds must not give neighbouring streams (the finaliser of SplitMix64).
+        // Hashed with the finaliser of SplitMix64, so that adjacent seeds do not give correlated streams.
         let mut z = seed.wrapping_add((stream as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         Rng(Pcg64Mcg::seed_from_u64(z ^ (z >> 31)))
     }
 
-    /// Evenly from 0 to 1, 1 left out.
+    /// Returns a value distributed uniformly in [0, 1).
     pub fn unit(&mut self) -> f64 {
         self.0.random::<f64>()
     }
 
-    /// Any number.
+    /// Returns a uniformly distributed 64-bit number.
     pub fn number(&mut self) -> u64 {
         self.0.random::<u64>()
     }
 
-    /// Evenly between two values; the first where they are in the wrong order.
+    /// Returns a value distributed uniformly between two values, or `low` if `high` is smaller.
     pub fn between(&mut self, low: f64, high: f64) -> f64 {
         low + self.unit() * (high - low).max(0.0)
     }
 
-    /// True with this probability.
+    /// Returns true with probability `p`.
     pub fn chance(&mut self, p: f64) -> bool {
         self.unit() < p
     }
 
-    /// A place in a list of this length; 0 in an empty one.
+    /// Returns an index into a list of this length; 0 for an empty list.
     pub fn index(&mut self, length: usize) -> usize {
         ((self.unit() * length as f64) as usize).min(length.saturating_sub(1))
     }
 
-    /// A length of time with this mean, exponentially distributed.
+    /// Returns an exponentially distributed duration with this mean.
     pub fn exponential(&mut self, mean: Ns) -> Ns {
         let x: f64 = Exp1.sample(&mut self.0);
         (x * mean as f64).round() as Ns
     }
 
-    /// A value of this mean and coefficient of variation, log-normally distributed.
+    /// Returns a log-normally distributed value with this mean and coefficient of variation.
     pub fn log_normal(&mut self, mean: f64, variation: f64) -> f64 {
         if variation <= 0.0 || mean <= 0.0 {
             return mean.max(0.0);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A count of this mean, Poisson distributed.
+    /// Returns a Poisson-distributed count with this mean.
     pub fn poisson(&mut self, mean: f64) -> u32 {
         match Poisson::new(mean) {
             Ok(d) if mean > 0.0 => d.sample(&mut self.0) as u32,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// So many different places out of so many, in order.
+    /// Returns `count` distinct indices below `of`, in ascending order; all of them if `count` is larger.
     pub fn choose(&mut self, count: usize, of: usize) -> Vec<usize> {
         let mut places: Vec<usize> = (0..of).collect();
         for i in 0..count.min(of) {
--- a/crates/simulation/src/spec/day.rs
+++ b/crates/simulation/src/spec/day.rs
@@ -1,81 +1,81 @@
-//! One day of a simulation: the value that each range of the settings came to.
+//! One day of a simulation: the values that are drawn from the ranges of the settings.
 
 use super::{ClassSpec, Need, Spec, ValueOrRange};
 use crate::rng::{Rng, Stream};
 use crate::{ms, seconds, Ns};
 
-/// One day: what the ranges of a [`Spec`] came to for a seed. Times are in nanoseconds.
+/// One day: the values drawn from the ranges of a [`Spec`] for a seed. Times are in nanoseconds.
 #[derive(Clone, Debug)]
 pub struct Day {
-    /// How requests come, and how much work they are.
+    /// Arrivals of requests, and the work that they need.
     pub demand: Demand,
-    /// What hosts need for what they do beside requests.
+    /// Cost of connections and probes, cold start, and report interval of hosts.
     pub hosts: HostTimes,
-    /// How fast the log reaches replicas.
+    /// Delays of replication.
     pub replication: ReplicationTimes,
-    /// What clients and their front do.
+    /// Behaviour of clients and the front layer.
     pub clients: ClientBehaviour,
-    /// Times on the network.
+    /// Delays of the network.
     pub network: NetworkTimes,
 }
 
-/// How requests come on a day, and how much work they are.
+/// Arrivals of requests on a day, and the work that they need.
 #[derive(Clone, Debug)]
 pub struct Demand {
-    /// First tries a second over all sets, without floods.
+    /// Rate of new requests over all sets, per second, without traffic surges.
     pub rate: f64,
-    /// Each set's part of them.
+    /// Share of each set in the rate, to a sum of 1.
     pub set_shares: Vec<f64>,
-    /// Mean work of each class, in nanoseconds on a core.
+    /// Mean work of a request of each class, in nanoseconds on one core.
     pub work: Vec<f64>,
-    /// Share of each class, to a sum of 1.
+    /// Share of each class in the rate, to a sum of 1.
     pub class_shares: Vec<f64>,
-    /// Part of the session reads that follow a write.
+    /// Fraction of the session reads that follow a write of their session.
     pub follows: f64,
-    /// Mean time from write to read.
+    /// Mean time from a write to a read that follows it.
     pub gap: Ns,
-    /// Part of a session's requests that come to any gateway.
+    /// Fraction of a session's requests that go to any gateway instead of the session's gateway.
     pub roams: f64,
 }
 
-/// What hosts need on a day for what they do beside requests.
+/// Cost of connections and probes, cold start, and report interval of hosts on a day.
 #[derive(Clone, Debug)]
 pub struct HostTimes {
-    /// Work of a new connection.
+    /// CPU time that a new connection costs a host.
     pub connect_work: Ns,
-    /// Work of a probe.
+    /// CPU time that a probe costs a host.
     pub probe_work: Ns,
-    /// Part of its capacity with which a host starts.
+    /// Fraction of its capacity with which a host starts.
     pub cold_start: f64,
-    /// Time until it is warm.
+    /// Time from the start of a host until it has its full capacity.
     pub cold_for: Ns,
-    /// Reports are made anew each so often.
+    /// Interval at which a host refreshes its load report.
     pub report_every: Ns,
 }
 
-/// How fast the log reaches replicas on a day.
+/// Delays of replication on a day.
 #[derive(Clone, Debug)]
 pub struct ReplicationTimes {
-    /// The log's way to a replica.
+    /// Time from a commit until a replica receives it.
     pub ship: Ns,
-    /// Time that a replica needs to apply one write.
+    /// Time that a replica needs to apply one commit.
     pub apply: Ns,
 }
 
-/// What clients and their front do on a day.
+/// Behaviour of clients and the front layer on a day.
 #[derive(Clone, Debug)]
 pub struct ClientBehaviour {
-    /// Part of the class's time after which a try is given up.
+    /// Time after which a client gives up a try, as a fraction of the class's deadline.
     pub patience: f64,
-    /// The first wait before a retry.
+    /// Delay before the first retry.
     pub backoff: Ns,
-    /// Part of the clients that wait as a refusal says.
+    /// Fraction of the rejected tries after which the client waits as long as the rejection asks.
     pub honour: f64,
-    /// The front notices a dead gateway after this time.
+    /// Time from the death of a gateway until the front stops sending to it.
     pub front_notice: Ns,
 }
 
-/// Times on the network on a day, each one way.
+/// One-way delays of the network on a day.
 #[derive(Clone, Debug)]
 pub struct NetworkTimes {
     /// Between gateway and host.
@@ -84,12 +84,12 @@
     pub client_way: Ns,
     /// Between gateways.
     pub datagram_way: Ns,
-    /// Each way is longer by up to this part.
+    /// Maximum random increase of a delay, as a fraction of it.
     pub jitter: f64,
 }
 
 impl Day {
-    /// Draws a day.
+    /// Draws the day that `seed` gives.
     pub fn draw(spec: &Spec, seed: u64) -> Day {
         let mut rng = Rng::new(seed, Stream::Day);
         let total: f64 = spec.classes.iter().map(|c| c.share).sum();
@@ -118,7 +118,7 @@
         } else {
             0
         };
-        // The order of these draws is part of a seed's meaning: another order gives other days.
+        // The order of these draws must not change: with another order, a seed would give another day.
         let mut time = |range: ValueOrRange| ms(range.draw(&mut rng));
         let connect_work = time(spec.hosts.connect_work_ms);
         let probe_work = time(spec.hosts.probe_work_ms);
@@ -171,7 +171,8 @@
     }
 }
 
-/// Requests a second over all sets at full load: the cores of a set, or of its primary alone, are in use all the time.
+/// Returns the rate of requests over all sets at full load, per second. At full load either all cores of a set or those
+/// of its primary are always busy, whichever happens at the lower rate.
 fn full_load_rate(spec: &Spec, class_shares: &[f64], work: &[f64]) -> f64 {
     let mean_work = |fits: &dyn Fn(&ClassSpec) -> bool| -> f64 {
         let all = spec.classes.iter().zip(class_shares.iter().zip(work));
--- a/crates/simulation/src/spec/faults.rs
+++ b/crates/simulation/src/spec/faults.rs
@@ -1,152 +1,153 @@
-//! Settings of faults: when each begins, how long it lasts, and what it strikes.
+//! Settings of faults: when each begins, how long it lasts, and what it affects.
 
 use super::ValueOrRange;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Which hosts or gateways a fault strikes.
+/// Selection of the hosts that a fault affects. Exactly one of `share`, `count` and `these` is given.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Pick")]
 pub struct HostSelection {
-    /// This part of them, one at least.
+    /// Fraction of the running hosts; at least one host for a fraction over 0.
     #[schemars(range(min = 0, max = 1))]
     pub share: Option<f64>,
-    /// So many of them.
+    /// Number of hosts.
     pub count: Option<u32>,
-    /// These, by number from 0.
+    /// Numbers of the hosts, from 0.
     pub these: Option<Vec<u32>>,
-    /// Of hosts: the chance that a strike takes a primary, where one is left.
+    /// Probability that a choice is restricted to the primaries, if any is left.
     #[schemars(range(min = 0, max = 1))]
     pub primaries: Option<f64>,
 }
 
-/// Hosts that fall silent: no reset, no answer.
+/// Hosts that fall silent: they send neither resets nor answers.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Silent")]
 pub struct SilentHosts {
-    /// Which.
+    /// Hosts that fall silent.
     pub hosts: HostSelection,
-    /// They hang and come back with what they held, warm; else they start again, cold, with nothing but their data.
+    /// Whether the hosts hang, and resume warm with their connections and requests when the fault ends. Otherwise they
+    /// restart cold, with nothing but their data.
     pub hang: bool,
 }
 
-/// Hosts whose process dies and is started again.
+/// Hosts that a fault affects as a whole, without further settings.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Strike")]
 pub struct HostFault {
-    /// Which.
+    /// Hosts that the fault affects.
     pub hosts: HostSelection,
 }
 
-/// Hosts whose answers are errors.
+/// Hosts that answer some queries with errors.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Spoilt")]
 pub struct FailingHosts {
-    /// Which.
+    /// Hosts that answer with errors.
     #[serde(default)]
     pub hosts: HostSelection,
-    /// The part of their answers.
+    /// Fraction of the answers that are errors.
     #[schemars(range(min = 0, max = 1))]
     pub part: f64,
 }
 
-/// Hosts that are slower, in one way or another.
+/// Hosts that run all work, or apply the log, more slowly.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Slow")]
 pub struct Slowdown {
-    /// Which; all of them where nothing is said.
+    /// Hosts that are slower; all hosts if not given.
     #[serde(default)]
     pub hosts: Option<HostSelection>,
-    /// So many times slower.
+    /// Factor by which the hosts are slower.
     pub times: ValueOrRange,
 }
 
-/// Sets that draw more traffic.
+/// Sets that receive additional traffic.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Flood")]
 pub struct TrafficSurge {
-    /// How many sets.
+    /// Number of sets.
     #[schemars(range(min = 1))]
     pub sets: u32,
-    /// What they draw more, together, as a part of all traffic.
+    /// Additional traffic to these sets together, as a fraction of all traffic.
     pub part: ValueOrRange,
 }
 
-/// Gateways that are killed in waves and start again with nothing but their last list.
+/// Gateways that are killed in waves and start again with nothing but their last endpoint list.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Waves")]
 pub struct GatewayRestarts {
-    /// Part of all gateways that is killed at some time.
+    /// Fraction of all gateways that are killed during the fault.
     #[schemars(range(min = 0, max = 1))]
     pub share: f64,
-    /// Part of all gateways that is killed at a time, one at least.
+    /// Fraction of all gateways that are killed in one wave; at least one gateway.
     #[schemars(range(min = 0, max = 1))]
     pub at_a_time: f64,
-    /// How long each is away.
+    /// Time from the kill of a gateway to its restart.
     pub down_s: ValueOrRange,
 }
 
-/// Hosts that some gateways do not reach.
+/// Hosts that some gateways cannot reach.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "CutOff")]
 pub struct UnreachableHosts {
-    /// Which hosts.
+    /// Hosts that are cut off.
     #[serde(default)]
     pub hosts: HostSelection,
-    /// The part of the gateways, one at least.
+    /// Fraction of the gateways that cannot reach the hosts; at least one gateway for a fraction over 0.
     #[schemars(range(min = 0, max = 1))]
     pub gateways: f64,
 }
 
-/// Datagrams that are lost.
+/// Loss of datagrams between gateways.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Lost")]
 pub struct DatagramLoss {
-    /// The part of them.
+    /// Fraction of the datagrams that are lost.
     #[schemars(range(min = 0, max = 1))]
     pub part: f64,
 }
 
-/// Gateways in two parts that do not hear each other.
+/// A network partition that divides the gateways into two sides that cannot reach each other.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Split")]
 pub struct NetworkPartition {
-    /// The part of them on one side, one at least.
+    /// Fraction of the gateways on one side; at least one gateway for a fraction over 0.
     #[schemars(range(min = 0, max = 1))]
     pub part: f64,
 }
 
-/// Discovery that says nothing.
+/// Discovery that sends no notifications.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 #[schemars(rename = "Mute")]
 pub struct DiscoverySilence {}
 
-/// A trouble: when, how long, and exactly one kind.
+/// A fault: its time, its duration, and exactly one kind.
 #[derive(Clone, Debug, Default, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Fault {
-    /// When it begins, from the start of the run.
+    /// Time at which the fault begins, from the start of the run.
     pub at_s: ValueOrRange,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub for_s: ValueOrRange,
-    /// Hosts fall silent.
+    /// Hosts fall silent: they send neither resets nor answers.
     #[serde(default)]
     pub silent: Option<SilentHosts>,
     /// Hosts die: their connections are reset and new ones refused.
     #[serde(default)]
     pub reset: Option<HostFault>,
-    /// Hosts turn everything away.
+    /// Hosts reject all requests.
     #[serde(default)]
     pub refusing: Option<HostFault>,
     /// Hosts answer with errors.
@@ -155,16 +156,16 @@
     /// Replicas apply the log more slowly.
     #[serde(default)]
     pub slow_apply: Option<Slowdown>,
-    /// Hosts are slower.
+    /// Hosts run all work more slowly.
     #[serde(default)]
     pub slowdown: Option<Slowdown>,
-    /// Sets draw more traffic.
+    /// Sets receive additional traffic.
     #[serde(default)]
     pub flood: Option<TrafficSurge>,
-    /// Gateways are killed.
+    /// Gateways are killed and start again.
     #[serde(default)]
     pub gateways_killed: Option<GatewayRestarts>,
-    /// Hosts drain, and are gone when it ends.
+    /// Hosts drain; they stop when the fault ends, and start again a second later.
     #[serde(default)]
     pub drain: Option<HostFault>,
     /// Hosts are cut off from some gateways.
@@ -173,16 +174,16 @@
     /// Datagrams are lost.
     #[serde(default)]
     pub datagrams_lost: Option<DatagramLoss>,
-    /// Some gateways do not hear the others.
+    /// A network partition separates some gateways from the others.
     #[serde(default)]
     pub split: Option<NetworkPartition>,
-    /// Discovery is silent.
+    /// Discovery sends no notifications.
     #[serde(default)]
     pub discovery_silent: Option<DiscoverySilence>,
 }
 
 impl Fault {
-    /// The names of the kinds that are set.
+    /// Returns the names of the kinds that are set.
     pub fn kinds(&self) -> Vec<&'static str> {
         [
             ("silent", self.silent.is_some()),
@@ -204,7 +205,7 @@
         .collect()
     }
 
-    /// The selections of hosts that are set, each with its path within the fault.
+    /// Returns the host selections that are set, each with its path within the fault.
     pub fn host_selections(&self) -> Vec<(&'static str, &HostSelection)> {
         let mut all = Vec::new();
         all.extend(self.silent.as_ref().map(|s| ("silent/hosts", &s.hosts)));
--- a/crates/simulation/src/spec/hosts.rs
+++ b/crates/simulation/src/spec/hosts.rs
@@ -8,62 +8,62 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct HostSpec {
-    /// How many there are; those that do not fill a set go to the first ones.
+    /// Number of hosts. Those that do not fill a set of their own are added to the first sets.
     #[schemars(range(min = 1, max = 20_000))]
     pub count: u32,
-    /// Cores of each.
+    /// Number of cores of each host.
     #[schemars(range(min = 0.1, max = 1024))]
     pub cores: f64,
-    /// Requests in work at once, at most.
+    /// Maximum number of requests that a host runs at once.
     #[schemars(range(min = 1, max = 100_000))]
     pub slots: u32,
-    /// Requests that may wait for a slot; more are turned away unseen.
+    /// Maximum number of requests that wait for a slot; further ones are rejected before execution.
     #[schemars(range(max = 100_000))]
     pub room: u32,
-    /// It becomes less efficient once it holds more requests than this many times its cores.
+    /// Number of requests per core above which a host becomes less efficient.
     #[schemars(range(min = 1))]
     pub crowded_from: f64,
-    /// Part of its capacity that is lost for each further multiple of its cores that it holds.
+    /// Fraction of a host's capacity that is lost for each request per core above `crowded_from`.
     #[schemars(range(min = 0, max = 1))]
     pub crowded_loss: f64,
-    /// Connections that it takes, at most.
+    /// Maximum number of connections to a host.
     #[schemars(range(min = 1))]
     pub connections: u32,
-    /// Part of its capacity that a full table of connections takes.
+    /// Fraction of a host's capacity that is lost when it has the maximum number of connections.
     #[schemars(range(min = 0, max = 0.9))]
     pub table_loss: f64,
-    /// Work of a new connection.
+    /// CPU time that a new connection costs a host.
     pub connect_work_ms: ValueOrRange,
-    /// Work of a probe.
+    /// CPU time that a probe costs a host.
     pub probe_work_ms: ValueOrRange,
-    /// Part of its capacity with which one that has started begins.
+    /// Fraction of its capacity with which a host starts.
     pub cold_start: ValueOrRange,
-    /// Time until one that has started is warm; its capacity rises evenly until then.
+    /// Time from the start of a host until it has its full capacity; the capacity rises linearly until then.
     pub cold_s: ValueOrRange,
-    /// Its load reports are made anew each so often.
+    /// Interval at which a host refreshes its load report.
     pub report_ms: ValueOrRange,
-    /// It closes a connection that has been idle for this long.
+    /// Time after which a host closes an idle connection.
     #[schemars(range(min = 0.1))]
     pub idle_close_s: f64,
-    /// Share of its answers that are errors on a good day.
+    /// Fraction of a host's answers that are errors in the absence of faults.
     #[schemars(range(min = 0, max = 1))]
     pub errors: f64,
-    /// What hosts do with reads for which they lag too far.
+    /// Handling of reads whose data a host does not have yet.
     pub checks: Checks,
-    /// With `wait`: how long they wait to catch up.
+    /// With `wait`: maximum time that a read waits for the host to catch up.
     #[schemars(range(min = 0))]
     pub wait_ms: f64,
 }
 
-/// What hosts do with a read for which they lag too far.
+/// Handling of a read whose data a host does not have yet.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Checks {
-    /// They answer from what they have, and the answer is stale.
+    /// The host answers from the data that it has, so the answer is stale.
     None,
-    /// They turn it away at once.
+    /// The host rejects the read at once.
     Refuse,
-    /// They wait a while, then turn it away.
+    /// The read waits for the host to catch up for up to `wait_ms` and is then rejected.
     Wait,
 }
 
@@ -95,23 +95,23 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct SetSpec {
-    /// Members of each.
+    /// Number of members of each set.
     #[schemars(range(min = 1, max = 100))]
     pub members: u32,
-    /// How unequal their traffic is: coefficient of variation between sets.
+    /// Coefficient of variation of the traffic between sets.
     #[schemars(range(min = 0, max = 3))]
     pub skew: f64,
-    /// A replica gets the log after this time.
+    /// Time from a commit until a replica receives it.
     pub ship_ms: ValueOrRange,
-    /// Part of the time that a replica's one applying thread is busy at full load.
+    /// Fraction of the time that the applying thread of a replica is busy at full load.
     pub apply_use: ValueOrRange,
-    /// A primary that dies or hangs is given up after this time.
+    /// Time from the failure of a primary until it is declared lost.
     pub detect_s: ValueOrRange,
-    /// A replica takes over so much later.
+    /// Time from then until a successor is elected.
     pub elect_s: ValueOrRange,
-    /// A primary that drains hands over within this time.
+    /// Time from the start of a primary's drain until a successor is elected.
     pub switch_s: ValueOrRange,
-    /// A set drops the repeat of a keyed write for this long from the first one's arrival.
+    /// Time during which a set ignores a repeat of a keyed write, from the arrival of the first copy.
     #[schemars(range(min = 0))]
     pub window_s: f64,
 }
--- a/crates/simulation/src/spec/mod.rs
+++ b/crates/simulation/src/spec/mod.rs
@@ -1,7 +1,8 @@
-//! The settings of a simulation: every figure of it, with the deployment's as the default, and the faults that strike.
+//! The settings of a simulation, with those of the deployment as defaults, and its faults.
 //!
-//! Times carry their unit in their names. Where a figure may be a range, a day draws one value from it evenly.
-//! The comments on settings are part of the scenario schema that users see, and the names in `schemars(rename)` too.
+//! The name of a time ends in its unit. Where a setting may be a range, each day draws one value from it, distributed
+//! uniformly. The doc comments on settings and the names in `schemars(rename)` are part of the scenario schema that
+//! users see.
 
 mod day;
 mod faults;
@@ -25,37 +26,37 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A whole world.
+/// Settings of a simulation.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct Spec {
-    /// Gateways in front of it.
+    /// Number of gateways.
     #[schemars(range(min = 1, max = 1000))]
     pub gateways: u32,
-    /// Arrivals go on for so long; what has come is answered after it.
+    /// Time during which requests arrive. Requests that have arrived by then are still answered afterwards.
     #[schemars(range(min = 0.1, max = 86_400))]
     pub length_s: f64,
-    /// Figures count from this time on.
+    /// Time from the start of the run that is left out of the results.
     #[schemars(range(min = 0))]
     pub warm_up_s: f64,
     /// Database hosts.
     pub hosts: HostSpec,
-    /// Sets of them.
+    /// Replica sets that the hosts form.
     pub sets: SetSpec,
     /// Classes of requests.
     #[schemars(length(min = 1, max = 64))]
     pub classes: Vec<ClassSpec>,
-    /// How requests come.
+    /// Arrivals of requests.
     pub traffic: TrafficSpec,
-    /// What clients do by themselves.
+    /// Behaviour of clients: deadlines, retries and the front layer.
     pub clients: ClientSpec,
-    /// The list of hosts.
+    /// Delays of the endpoint list.
     pub list: ListSpec,
-    /// The network.
+    /// Delays and losses of the network.
     pub net: NetSpec,
-    /// Figures of the rules.
+    /// Limits of the rules that gateways must keep.
     pub rules: RuleSpec,
-    /// What goes wrong.
+    /// Faults of the run.
     #[schemars(length(max = 1000))]
     pub faults: Vec<Fault>,
 }
@@ -80,7 +81,7 @@
 }
 
 impl Spec {
-    /// How many sets there are.
+    /// Returns the number of replica sets.
     pub fn set_count(&self) -> u32 {
         (self.hosts.count / self.sets.members.max(1)).max(1)
     }
--- a/crates/simulation/src/spec/network.rs
+++ b/crates/simulation/src/spec/network.rs
@@ -1,18 +1,18 @@
-//! Settings of the host list, of the network, and of the rules that gateways must keep.
+//! Settings of the endpoint list, of the network, and of the rules that gateways must keep.
 
 use super::ValueOrRange;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// The list of hosts, as gateways are told it.
+/// Delays of the endpoint list that gateways receive.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ListSpec {
-    /// A start, a stop or a drain is told after this time.
+    /// Time from the start, stop or drain of a host until gateways are notified.
     pub notice_s: ValueOrRange,
-    /// A host that has gone silent is told as gone after this time.
+    /// Time from the moment at which a host falls silent until gateways are notified that it is gone.
     pub silent_notice_s: ValueOrRange,
-    /// One gateway is told so much later than another, at most.
+    /// Maximum difference between the times at which two gateways are notified of one change.
     pub spread_ms: ValueOrRange,
 }
 
@@ -26,20 +26,20 @@
     }
 }
 
-/// Times on the network, one way.
+/// One-way delays and losses of the network.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct NetSpec {
-    /// Between gateway and host.
+    /// Delay between gateway and host.
     pub host_ms: ValueOrRange,
-    /// Between client and gateway.
+    /// Delay between client and gateway.
     pub client_ms: ValueOrRange,
-    /// Between gateways.
+    /// Delay of datagrams between gateways.
     pub datagram_ms: ValueOrRange,
-    /// Part of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     #[schemars(range(min = 0, max = 1))]
     pub datagram_loss: f64,
-    /// Each time is longer by up to this part.
+    /// Maximum random increase of a delay, as a fraction of it.
     pub jitter: ValueOrRange,
 }
 
@@ -55,23 +55,23 @@
     }
 }
 
-/// Figures of the rules.
+/// Limits of the rules that gateways must keep.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct RuleSpec {
-    /// Nothing new to a host later than this after word of its drain.
+    /// Time after the notification of a drain during which a gateway may still send new queries to the host.
     #[schemars(range(min = 0))]
     pub drain_grace_ms: f64,
-    /// A cold host that is sent more than this multiple of what it can do ...
+    /// A cold host dies if the work that it is sent within `tip_s` exceeds this multiple of its capacity.
     #[schemars(range(min = 0.1))]
     pub tip_multiple: f64,
-    /// ... for this long falls over.
+    /// Length of the window over which `tip_multiple` is measured.
     #[schemars(range(min = 0.1))]
     pub tip_s: f64,
-    /// The start of which a gateway is told.
+    /// Fraction of its capacity with which a host starts, as configured at the gateways.
     #[schemars(range(min = 0.01, max = 1))]
     pub told_cold_start: f64,
-    /// The warm-up time of which a gateway is told.
+    /// Warm-up time of a host, as configured at the gateways.
     #[schemars(range(min = 0.01))]
     pub told_cold_s: f64,
 }
--- a/crates/simulation/src/spec/traffic.rs
+++ b/crates/simulation/src/spec/traffic.rs
@@ -1,22 +1,22 @@
-//! Settings of the traffic: classes of requests, how they arrive, and what clients do by themselves.
+//! Settings of the traffic: classes of requests, their arrivals, and the behaviour of clients.
 
 use super::ValueOrRange;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// What a class of requests needs of its data.
+/// Freshness of the data that a class of requests needs, or that it writes.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Need {
-    /// Any member will do.
+    /// Any member may answer, however old its data are.
     Any,
-    /// Data no older than `bound_ms` when the request is sent.
+    /// The data must be no older than `bound_ms` when the request is sent.
     Bounded,
-    /// All that its session has written.
+    /// The data must contain all writes of the request's session.
     Session,
-    /// All that was written before it came in.
+    /// The data must contain all writes from before the request's arrival.
     Fresh,
-    /// A write: the primary alone takes it.
+    /// A write, which only the primary accepts.
     Write,
 }
 
@@ -24,37 +24,37 @@
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ClassSpec {
-    /// Its name, as the statement's comment tells it.
+    /// Name of the class, as given in the comment of a statement.
     #[schemars(length(min = 1, max = 64))]
     pub name: String,
-    /// Its share of the requests; all shares are set to a sum of 1.
+    /// Share of the class in all requests; the shares are scaled to a sum of 1.
     #[schemars(range(min = 0))]
     pub share: f64,
-    /// Mean work of one on a core.
+    /// Mean CPU time of a request on one core.
     pub work_ms: ValueOrRange,
     /// Coefficient of variation of the work.
     #[serde(default = "half")]
     #[schemars(range(min = 0, max = 5))]
     pub work_variation: f64,
-    /// What its data must hold.
+    /// Freshness of the data that the class needs.
     pub need: Need,
-    /// With `bounded`: the age of data.
+    /// With `bounded`: maximum age of the data.
     #[serde(default)]
     #[schemars(range(min = 0))]
     pub bound_ms: f64,
-    /// While a replica works on one, it applies nothing.
+    /// Whether a replica stops applying the log while it runs a request of the class.
     #[serde(default)]
     pub blocks: bool,
-    /// Wanted within this time.
+    /// Response time that the class aims for.
     #[schemars(range(min = 1, max = 3_600_000))]
     pub aim_ms: f64,
-    /// Given up after this time.
+    /// Time after which a request of the class is given up.
     #[schemars(range(min = 1, max = 3_600_000))]
     pub deadline_ms: f64,
-    /// Worth of an answer in time.
+    /// Value of an answer within `aim_ms`.
     #[schemars(range(min = 0))]
     pub worth: f64,
-    /// Part of it that a later answer still has.
+    /// Fraction of that value that a later answer still has.
     #[serde(default)]
     #[schemars(range(min = 0, max = 1))]
     pub late_worth: f64,
@@ -64,7 +64,7 @@
     0.5
 }
 
-/// The classes of the brief.
+/// Returns the default classes, which are those of the deployment.
 pub fn brief_classes() -> Vec<ClassSpec> {
     let class = |name: &str, share, work: [f64; 2], need, aim_ms, deadline_ms, worth| ClassSpec {
         name: name.to_string(),
@@ -137,28 +137,29 @@
     ]
 }
 
-/// How requests come.
+/// Arrivals of requests.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct TrafficSpec {
-    /// Part of what the sets, or their primaries, can do; used where no rate is given.
+    /// Load as a fraction of the capacity of the sets or of their primaries, whichever is the limit; used if no rate is
+    /// given.
     pub load: ValueOrRange,
-    /// First tries a second over all sets.
+    /// Rate of new requests over all sets, per second.
     #[schemars(range(min = 0.01, max = 10_000_000))]
     pub requests_per_s: Option<f64>,
-    /// The rate swings by this part up and down ...
+    /// Amplitude of the sinusoidal variation of the rate, as a fraction of the rate.
     #[schemars(range(min = 0, max = 1))]
     pub swing: f64,
-    /// ... in this time.
+    /// Period of the variation of the rate.
     #[schemars(range(min = 0.1))]
     pub swing_s: f64,
-    /// Part of the session reads that follow a write of their session.
+    /// Fraction of the session reads that follow a write of their session.
     pub follows: ValueOrRange,
-    /// Mean time from the write to such a read.
+    /// Mean time from a write to a read that follows it.
     pub gap_ms: ValueOrRange,
-    /// Part of a session's requests that come to any gateway.
+    /// Fraction of a session's requests that go to any gateway instead of the session's gateway.
     pub roams: ValueOrRange,
-    /// Sessions of each set that write.
+    /// Number of sessions of each set.
     #[schemars(range(min = 1, max = 10_000_000))]
     pub sessions: u32,
 }
@@ -178,42 +179,43 @@
     }
 }
 
-/// When clients send a write again that may have run.
+/// Conditions under which clients retry a write that may have run.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum WriteRepeats {
-    /// Never: only after a refusal, or where the gateway could not be reached.
+    /// Never: a write is retried only if it was rejected, or if the gateway could not be reached.
     Refused,
-    /// Also after a failure, while its set still drops a repeat.
+    /// Also after a failure, as long as the set still ignores a repeat.
     Window,
-    /// Always. Such clients break the rule themselves: their writes are applied twice.
+    /// Always. Such clients violate the rule themselves: their writes may be applied twice.
     Always,
 }
 
-/// What clients do by themselves.
+/// Behaviour of clients: deadlines, retries and the front layer.
 #[derive(Clone, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(default, deny_unknown_fields)]
 pub struct ClientSpec {
-    /// Tries after the first one, at most.
+    /// Maximum number of retries of a request.
     #[schemars(range(max = 20))]
     pub retries: u32,
-    /// A try is given up after this part of the class's time.
+    /// Time after which a client gives up a try, as a fraction of the class's deadline.
     pub patience: ValueOrRange,
-    /// The wait before a retry; it doubles with each, with as much chance in it.
+    /// Delay before the first retry. It doubles with each further one, and is multiplied by a random factor from 0.5 to
+    /// 1.5.
     pub backoff_ms: ValueOrRange,
-    /// Part of the clients that wait as long as a refusal says.
+    /// Fraction of the rejected tries after which the client waits as long as the rejection asks.
     pub honour: ValueOrRange,
-    /// The longest wait that they take from a refusal.
+    /// Longest delay that clients accept from a rejection.
     #[schemars(range(min = 0))]
     pub longest_wait_ms: f64,
-    /// They mark a retry as one.
+    /// Whether clients mark a retry as such.
     pub marked: bool,
-    /// When they send a write again.
+    /// Conditions under which clients retry a write that may have run.
     pub writes: WriteRepeats,
-    /// Part of the tries that are left before their time is over, halfway.
+    /// Fraction of the tries whose client disconnects halfway to the deadline of the try.
     #[schemars(range(min = 0, max = 1))]
     pub impatient: f64,
-    /// The front layer goes on sending to a dead gateway for this long.
+    /// Time from the death of a gateway until the front layer stops sending to it.
     pub notice_s: ValueOrRange,
 }
 
--- a/crates/simulation/src/spec/validation.rs
+++ b/crates/simulation/src/spec/validation.rs
@@ -1,10 +1,10 @@
-//! Checks of settings that a schema cannot express: ranges, sums and references between settings.
+//! Checks of settings that the schema cannot express: ranges, sums and references between settings.
 
 use super::{ClassSpec, Fault, HostSelection, Need, Spec, ValueOrRange};
 
-/// A day in seconds: the longest time that a setting may give.
+/// One day in seconds: the upper limit of settings in seconds.
 const DAY_S: f64 = 86_400.0;
-/// An hour in milliseconds: the longest time that a setting in milliseconds may give.
+/// One hour in milliseconds: the highest upper limit of settings in milliseconds.
 const HOUR_MS: f64 = 3_600_000.0;
 
 /// A setting that cannot be used.
@@ -17,7 +17,7 @@
     pub reason: String,
 }
 
-/// The problems found so far, in the order of the checks.
+/// Problems found so far, in the order of the checks.
 #[derive(Default)]
 struct Problems(Vec<SpecProblem>);
 
@@ -29,7 +29,7 @@
         });
     }
 
-    /// Checks that a range rises and lies within `least` to `most`.
+    /// Checks that the lower end of a range is not above the upper end, and that both lie within `least` to `most`.
     fn check_range(&mut self, path: &str, range: ValueOrRange, least: f64, most: f64) {
         let [low, high] = range.ends();
         if !(low.is_finite() && high.is_finite()) || low < least || high > most {
@@ -44,7 +44,7 @@
 }
 
 impl Spec {
-    /// The settings that the schema accepts and that still cannot be used, in a fixed order.
+    /// Returns the settings that the schema accepts but that cannot be used, in a fixed order.
     pub fn problems(&self) -> Vec<SpecProblem> {
         let mut problems = Problems::default();
         self.check_host_and_set_ranges(&mut problems);
--- a/crates/simulation/src/spec/value.rs
+++ b/crates/simulation/src/spec/value.rs
@@ -1,17 +1,17 @@
-//! A figure that is fixed, or drawn from a range.
+//! A setting that is a fixed value, or a range from which a value is drawn.
 
 use crate::rng::Rng;
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// A value, or a range from which each day draws one.
+/// A value, or a range from which each day draws one value.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, JsonSchema, PartialEq)]
 #[serde(untagged)]
 #[schemars(rename = "Between")]
 pub enum ValueOrRange {
-    /// This value.
+    /// A fixed value.
     Value(f64),
-    /// Evenly from the first to the second.
+    /// Lower and upper end of a range; the value is distributed uniformly between them.
     Range([f64; 2]),
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl ValueOrRange {
-    /// One value.
+    /// Returns the value, or one drawn from the range.
     pub fn draw(self, rng: &mut Rng) -> f64 {
         match self {
             ValueOrRange::Value(v) => v,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Its ends.
+    /// Returns the lower and upper end; both are the value if it is fixed.
     pub fn ends(self) -> [f64; 2] {
         match self {
             ValueOrRange::Value(v) => [v, v],
--- a/crates/simulation/tests/clients.rs
+++ b/crates/simulation/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Arrivals, retries of clients, the front, and what a session knows of its writes.
+//! Arrivals of requests, retries of clients, the front layer, and the commits that a session's reads must observe.
 
 use irisrouter_simulation::clients::{
     Arrival, Arrivals, Clients, Finished, NextStep, Try, TryOutcome,
@@ -115,7 +115,7 @@
         ),
         "{late:?}"
     );
-    // Refused each time, it has never run: it comes again as often as clients do.
+    // A request that is rejected each time has never run, so it is retried up to the maximum number of retries.
     write(&mut c, 2);
     for number in 0..2 {
         let next = c.finish_try(
@@ -151,8 +151,8 @@
     assert_eq!(write(&mut c, 4).gateway, t.gateway);
 }
 
-/// A roaming session's read may come to another gateway before its write has been answered: then it carries nothing,
-/// and afterwards the commit goes with it wherever it comes.
+/// A read that roams may reach another gateway than the write of its session. It carries no commit as long as the write
+/// has not been answered, and carries the write's commit to every gateway afterwards.
 #[test]
 fn roaming_read_at_any_gateway_carries_what_its_session_knows() {
     let mut c = Clients::new(
--- a/crates/simulation/tests/cpu.rs
+++ b/crates/simulation/tests/cpu.rs
@@ -1,4 +1,4 @@
-//! Processor sharing against closed forms: shares, ramps, and the mean time of an M/M/c queue.
+//! Processor sharing compared with closed forms: shares, ramps, and the mean time in the system of an M/M/c queue.
 
 use irisrouter_simulation::cpu::{Cpu, Ramp};
 use irisrouter_simulation::rng::{Rng, Stream};
@@ -19,7 +19,7 @@
     let mut cpu = Cpu::new(2.0, 0);
     (0..4).for_each(|job| cpu.add(0, 10 * MS, job));
     cpu.add(0, 5 * MS, 9);
-    // Five on two cores: the short one ends after 12.5 ms; then four share, with 5 ms left each.
+    // Five jobs on two cores: the short one finishes after 12.5 ms; then four share, with 5 ms of work left each.
     assert_eq!(
         run(&mut cpu),
         [
@@ -33,7 +33,8 @@
     assert!((cpu.used() - 45e6).abs() < 10.0, "{}", cpu.used());
 }
 
-/// The ramp's integral: from a quarter to the whole in 4 s, a core does 2.5 s of work in these, and 1 s in each after.
+/// A core whose capacity ramps from a quarter to full in 4 s does 2.5 s of work in that time, which is the integral of
+/// the ramp, and 1 s of work per second afterwards.
 #[test]
 fn ramp_gives_the_work_of_its_integral() {
     let ramp = Ramp {
@@ -48,7 +49,7 @@
         let (t, _) = run(&mut cpu)[0];
         assert!((t - SECOND - (ends * 1e9) as Ns).abs() <= 2, "{work}: {t}");
     }
-    // Two cores, one job: it has a whole core once half of the capacity is there, after 4/3 s.
+    // One job on two cores: it has a full core once the capacity reaches one half, after 4/3 s.
     let mut cpu = Cpu::new(2.0, SECOND);
     cpu.start_ramp(SECOND, ramp);
     cpu.add(SECOND, 3 * SECOND, 1);
@@ -78,8 +79,8 @@
     );
 }
 
-/// M/M/c against its closed form (Erlang's C; sharing leaves the numbers in it as they are with a queue): the mean
-/// time in the system, and Little's law.
+/// Compares the mean time in the system with the closed form of an M/M/c queue (Erlang C), and checks Little's law. The
+/// formula for a queue applies because processor sharing has the same distribution of the number of jobs.
 #[test]
 fn queue_under_load_has_the_mean_time_of_theory() {
     let (cores, mean, load) = (3.0, 40.0 * MS as f64, 0.8);
--- a/crates/simulation/tests/datagrams.rs
+++ b/crates/simulation/tests/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between gateways: losses, partitions and the longest length.
+//! Datagrams between gateways: losses, partitions and the maximum length.
 
 use irisrouter_simulation::datagrams::Datagrams;
 use irisrouter_simulation::fleet::Fleet;
--- a/crates/simulation/tests/endpoint_list.rs
+++ b/crates/simulation/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The host list: the order of notices, and the silence of discovery.
+//! The endpoint list: the order of notifications, and silent discovery.
 
 use irisrouter_simulation::endpoint_list::{EndpointList, ListedState};
 use irisrouter_simulation::spec::ListSpec;
--- a/crates/simulation/tests/event_queue.rs
+++ b/crates/simulation/tests/event_queue.rs
@@ -1,4 +1,4 @@
-//! Events come out in order of time and planning, and slots are used again.
+//! The event queue returns events in order of time and of addition, and reuses slots.
 
 use irisrouter_simulation::event_queue::EventQueue;
 use irisrouter_simulation::Ns;
@@ -14,7 +14,7 @@
         while let Some(e) = q.pop(cut) {
             came.push(e);
         }
-        // Slots are used again.
+        // These events reuse the free slots.
         times.iter().enumerate().for_each(|(i, &t)| q.push(t + 100, 1000 + i));
         while let Some(e) = q.pop(Ns::MAX) {
             came.push(e);
--- a/crates/simulation/tests/faults.rs
+++ b/crates/simulation/tests/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a day: waves, independence of the draws, and the choice of hosts.
+//! The faults of a day: waves of gateway restarts, independence of the draws, and the choice of hosts.
 
 use irisrouter_simulation::faults::{pick, plan};
 use irisrouter_simulation::rng::{Rng, Stream};
--- a/crates/simulation/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet under what goes wrong: each hard case on its own, in a few lines of a script.
+//! The fleet under faults: one scripted test for each case.
 
 use irisrouter_simulation::fleet::{Answer, Delivery, Fleet, Output, ProbeResult, Query};
 use irisrouter_simulation::host::State;
@@ -13,7 +13,7 @@
 const REPORT: usize = 3;
 const WRITE: usize = 4;
 
-/// One set of six, without chance where a test would feel it.
+/// One set of six hosts. The settings that affect the tests are fixed values instead of ranges.
 fn spec(faults: Vec<Fault>) -> Spec {
     let mut s = Spec {
         faults,
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Lets time pass until then.
+    /// Advances the fleet to time `t`, event by event.
     fn until(&mut self, t: Ns) {
         while let Some(at) = self.fleet.next().filter(|&at| at <= t) {
             self.take(at);
@@ -136,7 +136,7 @@
 fn repeated_write_within_the_window_is_dropped_and_beyond_it_applied() {
     let mut r = Rig::new(&spec(Vec::new()));
     let first = r.write(SECOND, 0, 7);
-    // The last moment of the window, counted from when the first one came.
+    // The last moment of the window, which starts when the first copy arrives.
     let again = r.write(SECOND + 1200 * MS, 0, 7);
     r.until(3 * SECOND);
     assert_eq!(r.answer(first), Some((SECOND + 40 * MS, Answer::Row)));
@@ -153,7 +153,7 @@
         ),
         (1, 0)
     );
-    // Planted: a repeat a moment later is a write like any other, and the invariants finds it.
+    // Negative control: a repeat one nanosecond after the window is applied again, and the audit finds it.
     r.write(3 * SECOND, 0, 8);
     r.write(4 * SECOND + 200 * MS + 1, 0, 8);
     r.until(5 * SECOND);
@@ -166,7 +166,7 @@
     );
 }
 
-/// Two copies in work at once: whichever ends first is applied, and the other is not.
+/// Of two copies of a write that run at the same time, the one that finishes first is applied and the other is not.
 #[test]
 fn concurrent_copies_of_a_write_are_applied_once() {
     let mut r = Rig::new(&spec(Vec::new()));
@@ -195,7 +195,7 @@
 fn write_abandoned_by_its_gateway_is_still_applied() {
     let mut r = Rig::new(&spec(Vec::new()));
     r.write(SECOND, 0, 7);
-    // A gateway that gives up closes its connection: that stops nothing.
+    // A gateway that gives up closes its connection, which does not stop the write.
     r.fleet.close(SECOND + MS, HostId(0), 0);
     r.until(2 * SECOND);
     assert_eq!(r.fleet.invariants().commit(7), Some(SECOND + 40 * MS));
@@ -234,7 +234,7 @@
         None,
         "what it held is lost with it, and nobody is told"
     );
-    // Back after 15 s: cold, behind, a replica, and its connections of before are void.
+    // The host returns after 15 s as a cold replica that lags, and its earlier connections are reset.
     r.until(17 * SECOND);
     assert_eq!(r.broken, [(17 * SECOND, HostId(0))]);
     assert!(r.fleet.host(HostId(0)).cold(18 * SECOND));
@@ -258,7 +258,7 @@
     assert_eq!(r.answer(any).map(|a| a.1), Some(Answer::Row));
 }
 
-/// A primary hangs with a write in its hands, is replaced, comes back as a replica, and the write ends in an error.
+/// A primary hangs while it runs a write, is replaced and resumes as a replica: the write ends in an error.
 #[test]
 fn hung_primary_returns_as_replica_and_its_write_has_no_effect() {
     let mut r = Rig::new(&spec(vec![silent(0, 2.0, 8.0, true)]));
@@ -295,7 +295,7 @@
     assert_eq!(r.answer(held), Some((3 * SECOND + 30 * MS, Answer::Row)));
 }
 
-/// The primary comes back as a replica while its successor is being elected.
+/// A primary that restarts as a replica while the election of its successor is pending may itself be elected.
 #[test]
 fn primary_back_before_the_election_is_a_candidate() {
     let mut r = Rig::new(&spec(vec![silent(0, 2.0, 3.0, false)]));
@@ -369,7 +369,7 @@
     let mut spec = spec(vec![silent(1, 1.0, 1.0, false)]);
     spec.hosts.cold_start = ValueOrRange::Value(0.2);
     spec.hosts.cold_s = ValueOrRange::Value(10.0);
-    // At its start it can do one core's work: twice that in 3 s is 6 s of work.
+    // At its start the host has a capacity of one core. Twice that over the window of 3 s is 6 s of work.
     for (count, falls) in [(150, false), (151, true)] {
         let mut r = Rig::new(&spec);
         r.until(2 * SECOND);
@@ -391,7 +391,7 @@
     }
 }
 
-/// The window is three seconds long: what came before it no longer counts, what came at its very end does.
+/// The load window is three seconds long: work that arrived 2.94 s ago counts, work that arrived 3 s ago does not.
 #[test]
 fn cold_host_fails_exactly_within_the_load_window() {
     let mut spec = spec(vec![silent(1, 1.0, 1.0, false)]);
@@ -446,7 +446,7 @@
             ),
             (Some(expected), stale)
         );
-        // The primary has it all.
+        // The primary has all commits.
         r.ask(3 * SECOND, 0, OWN, |q| q.mark = commit);
         r.until(4 * SECOND);
         assert_eq!(r.count(ViolationKind::StaleRead), stale);
--- a/crates/simulation/tests/host.rs
+++ b/crates/simulation/tests/host.rs
@@ -1,4 +1,4 @@
-//! A host: the window of its load, and what crowds, slowdowns and a cold start take from its capacity.
+//! A host: its load window, and the loss of capacity through too many requests, slowdowns and a cold start.
 
 use irisrouter_simulation::host::Host;
 use irisrouter_simulation::load_window::LoadWindow;
@@ -9,7 +9,8 @@
 #[test]
 fn load_window_counts_work_within_its_length_and_no_more() {
     let mut w = LoadWindow::new(3 * SECOND);
-    // What a host of one core can do in 3 s: 3 s of work; half of it at the start, as much at the very end.
+    // A host of one core can do 3 s of work in the window of 3 s. Half of that arrives at the start of the window and
+    // half at its end.
     assert_eq!(w.add(SECOND, 1.5e9, 1.0, true), 0.5);
     assert_eq!(
         w.add(4 * SECOND - 1, 1.5e9, 1.0, true),
--- a/crates/simulation/tests/replication_log.rs
+++ b/crates/simulation/tests/replication_log.rs
@@ -1,4 +1,4 @@
-//! A replica applies its log commit by commit, stands still when stopped, and its position never goes back.
+//! A replica applies the log commit by commit and pauses when stopped, and its position never goes back.
 
 use irisrouter_simulation::replication_log::{LogApplier, PrimarySignal, ReplicationLog, Source};
 use irisrouter_simulation::{Ns, MS, SECOND};
--- a/crates/simulation/tests/rng.rs
+++ b/crates/simulation/tests/rng.rs
@@ -1,4 +1,4 @@
-//! Random numbers: means of the distributions, and choices without repetition.
+//! Random numbers: the means of the distributions, and sampling without replacement.
 
 use irisrouter_simulation::rng::{Rng, Stream};
 
--- a/crates/simulation/tests/spec.rs
+++ b/crates/simulation/tests/spec.rs
@@ -1,10 +1,10 @@
-//! Settings: the defaults describe the deployment, and unusable values are reported with their paths.
+//! Settings: the defaults describe the deployment, and invalid values are reported with their paths.
 
 use irisrouter_simulation::ms;
 use irisrouter_simulation::spec::{Day, Fault, HostFault, SilentHosts, Spec, ValueOrRange};
 
-/// The brief's own figures: about 380 requests a second on 12 hosts, of which the primaries are 56 to 74 % used
-/// by writes and fresh reads at full load.
+/// The defaults give about 380 requests per second on 12 hosts. At full load, writes and fresh reads use 56 to 74 % of
+/// the capacity of the primaries.
 #[test]
 fn default_spec_gives_the_rates_of_the_deployment() {
     let spec = Spec::default();
