--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -49,7 +49,7 @@
         self.commits.entry(key).or_insert(at);
         if times == 2 {
             self.record(at, ViolationKind::AppliedTwice, || {
-                format!("the write of key {key:x}")
+                format!("the write with key {key:x} was applied twice")
             });
         }
     }
@@ -81,7 +81,7 @@
             self.record(at, ViolationKind::SentToDrained, || {
                 let late = (at - told) as f64 / 1e6;
                 format!(
-                    "gateway {} sent to host {} {late:.1} ms after word of its drain",
+                    "gateway {} sent to host {} {late:.1} ms after the notification of its drain or end",
                     gateway.0, host.0
                 )
             });
@@ -91,7 +91,7 @@
     /// Records that a cold host died of overload.
     pub fn knocked_over(&mut self, at: Ns, host: HostId, load: f64) {
         self.record(at, ViolationKind::KnockedOver, || {
-            format!("host {} at {load:.2} of what it can do", host.0)
+            format!("host {} was offered {load:.2} times its capacity", host.0)
         });
     }
 
--- a/crates/simulation/src/spec/validation.rs
+++ b/crates/simulation/src/spec/validation.rs
@@ -35,10 +35,13 @@
         if !(low.is_finite() && high.is_finite()) || low < least || high > most {
             self.add(
                 path,
-                format!("{low} to {high} is not within {least} to {most}"),
+                format!("{low} to {high} is outside the allowed range {least} to {most}"),
             );
         } else if low > high {
-            self.add(path, format!("a range from {low} down to {high}"));
+            self.add(
+                path,
+                format!("the lower end {low} is above the upper end {high}"),
+            );
         }
     }
 }
@@ -118,14 +121,14 @@
         if hosts < members {
             problems.add(
                 "/hosts/count",
-                format!("{hosts} hosts are too few for one set of {members}"),
+                format!("{hosts} hosts are too few for one set of {members} members"),
             );
         }
         if self.warm_up_s >= self.length_s {
-            problems.add("/warm_up_s", "no time is left after it");
+            problems.add("/warm_up_s", "must be less than /length_s");
         }
         if self.classes.iter().map(|class| class.share).sum::<f64>() <= 0.0 {
-            problems.add("/classes", "the shares come to nothing");
+            problems.add("/classes", "the sum of the shares must be over 0");
         }
     }
 
@@ -135,20 +138,23 @@
         if earlier.iter().any(|other| other.name == class.name) {
             problems.add(
                 format!("{path}/name"),
-                format!("a second class {}", class.name),
+                format!("duplicate class name {}", class.name),
             );
         }
         let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         if !class.name.chars().all(is_plain) {
-            problems.add(format!("{path}/name"), "letters, digits, - and _ alone");
+            problems.add(
+                format!("{path}/name"),
+                "only ASCII letters, digits, - and _ are allowed",
+            );
         }
         if class.aim_ms > class.deadline_ms {
-            problems.add(format!("{path}/aim_ms"), "later than the deadline");
+            problems.add(format!("{path}/aim_ms"), "must not exceed deadline_ms");
         }
         if (class.need == Need::Bounded) != (class.bound_ms > 0.0) {
             problems.add(
                 format!("{path}/bound_ms"),
-                "goes with the need 'bounded', and over 0",
+                "must be over 0 with need 'bounded', and 0 otherwise",
             );
         }
     }
@@ -174,7 +180,7 @@
         if surge_sets > self.set_count() {
             problems.add(
                 format!("{path}/flood/sets"),
-                format!("there are {} sets", self.set_count()),
+                format!("must not exceed the number of sets, {}", self.set_count()),
             );
         }
     }
--- a/crates/simulation/tests/clients.rs
+++ b/crates/simulation/tests/clients.rs
@@ -93,7 +93,7 @@
     assert_eq!(
         c.finish_try(at, 1, 0, SECOND, TryOutcome::Failed),
         NextStep::Nothing,
-        "the first try is over"
+        "the first try has already ended"
     );
     let late = c.finish_try(
         SECOND + 900 * MS,
@@ -140,7 +140,11 @@
     let mut c = Clients::new(&spec(), 5, 0);
     let t = write(&mut c, 1);
     c.set_gateway_state(SECOND, t.gateway, false);
-    assert_eq!(write(&mut c, 2).gateway, t.gateway, "it has not noticed");
+    assert_eq!(
+        write(&mut c, 2).gateway,
+        t.gateway,
+        "the front has not detected the failure yet"
+    );
     c.set_gateway_state(
         SECOND - Day::draw(&spec(), 5).clients.front_notice,
         t.gateway,
@@ -214,7 +218,7 @@
     assert_eq!(
         c.first_try(SECOND, read).mark,
         0,
-        "its write has not been answered"
+        "the write has not been answered yet"
     );
     c.finish_try(
         2 * SECOND,
--- a/crates/simulation/tests/endpoint_list.rs
+++ b/crates/simulation/tests/endpoint_list.rs
@@ -23,7 +23,10 @@
         .all(|t| t.at >= seconds(1.1) && t.at <= seconds(4.7 + 0.38)));
     let g = GatewayId(0);
     assert!(l.deliver(5 * SECOND, g, second[0].entry));
-    assert!(!l.deliver(6 * SECOND, g, first[0].entry), "it is older");
+    assert!(
+        !l.deliver(6 * SECOND, g, first[0].entry),
+        "the entry is older"
+    );
     assert_eq!(l.drain_notice_time(g, HostId(0)), None);
     l.set_silent(true);
     let gone = l.announce(
--- a/crates/simulation/tests/fleet.rs
+++ b/crates/simulation/tests/fleet.rs
@@ -144,7 +144,7 @@
     let commits: Vec<Ns> = r.answers.iter().map(|a| a.4).collect();
     assert_eq!(
         commits[0], commits[1],
-        "the repeat is told of the first one's commit"
+        "the repeat is answered with the commit of the first copy"
     );
     assert_eq!(
         (
@@ -217,7 +217,7 @@
     assert_eq!(
         r.fleet.primary(SetId(0)),
         None,
-        "given up after 2 s, replaced 3 s later"
+        "declared lost after 2 s, replaced 3 s later"
     );
     let miss = r.write(7 * SECOND - MS, 1, 4);
     r.until(7 * SECOND);
@@ -232,7 +232,7 @@
     assert_eq!(
         r.answer(lost),
         None,
-        "what it held is lost with it, and nobody is told"
+        "a query at a host that vanishes is lost without an answer"
     );
     // The host returns after 15 s as a cold replica that lags, and its earlier connections are reset.
     r.until(17 * SECOND);
@@ -251,7 +251,7 @@
     assert_eq!(
         r.answer(late),
         Some((4 * SECOND + 50 * MS, Answer::Miss)),
-        "it waits 50 ms, then turns it away"
+        "the read waits for 50 ms and is then rejected"
     );
     let (any, _) = r.ask(5 * SECOND, 1, REPORT, |_| ());
     r.until(6 * SECOND);
@@ -272,7 +272,7 @@
     assert_eq!(
         r.answer(held),
         Some((10 * SECOND + 30 * MS, Answer::Error)),
-        "what was left of it, then no role"
+        "the write runs for its remaining 30 ms, and its host is no longer primary"
     );
     assert_eq!(r.answer(stalled).map(|a| a.1), Some(Answer::Miss));
     assert_eq!(r.answer(elsewhere).map(|a| a.1), Some(Answer::Row));
@@ -336,7 +336,7 @@
         .told
         .iter()
         .find(|t| t.1 == GatewayId(0))
-        .expect("it is told");
+        .expect("a notification");
     assert!(
         (2 * SECOND + 1100 * MS..=2 * SECOND + 5080 * MS).contains(&told),
         "{told}"
@@ -354,13 +354,13 @@
     assert_eq!(
         r.count(ViolationKind::SentToDrained),
         1,
-        "planted: a millisecond beyond the grace"
+        "negative control: one millisecond after the grace period"
     );
     r.until(13 * SECOND);
     assert_eq!(
         (r.fleet.host(HostId(0)).state, r.fleet.host(HostId(0)).epoch),
         (State::Up, 1),
-        "a fresh one"
+        "the host has restarted"
     );
 }
 
@@ -386,7 +386,7 @@
         assert_eq!(
             r.fleet.host(HostId(1)).state == State::Down,
             falls,
-            "it stays down"
+            "an overloaded host is not restarted"
         );
     }
 }
--- a/crates/simulation/tests/host.rs
+++ b/crates/simulation/tests/host.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         w.add(4 * SECOND, 1.5e9, 1.0, false),
         1.0,
-        "the first half has left"
+        "the first half is outside the window"
     );
     assert_eq!((w.peak, w.cold_peak), (1.0, 1.0));
 }
--- a/crates/simulation/tests/replication_log.rs
+++ b/crates/simulation/tests/replication_log.rs
@@ -24,13 +24,13 @@
         log.push(SECOND);
     });
     let at = |a: &mut LogApplier, ms: Ns| a.position(SECOND + ms * MS, from(&log, Some(0), 0));
-    assert_eq!(at(&mut a, 4), SECOND - MS, "nothing of it has come");
+    assert_eq!(at(&mut a, 4), SECOND - MS, "no commit has arrived");
     assert_eq!(at(&mut a, 34), SECOND - 1, "the third is not applied");
     assert_eq!(a.applied(), 2);
     assert_eq!(
         at(&mut a, 35),
         SECOND + 30 * MS,
-        "all three, 15 ms and 30 ms after they came"
+        "all three are applied, the last one 30 ms after they arrived"
     );
     assert_eq!(a.applied(), 3);
 }
@@ -70,11 +70,7 @@
     });
     a.slow(10 * MS, from(&log, Some(0), 0), 4.0);
     a.advance(30 * MS, from(&log, Some(0), 0));
-    assert_eq!(
-        a.applied(),
-        1,
-        "the half that was left took four times as long"
-    );
+    assert_eq!(a.applied(), 1, "the remaining half took four times as long");
     a.advance(70 * MS - 1, from(&log, Some(0), 0));
     assert_eq!(a.applied(), 1);
     a.advance(70 * MS, from(&log, Some(0), 0));
