--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -38,7 +38,7 @@
     /// Mean rate without traffic surges.
     base: f64,
     /// Upper bound of the rate at any time.
-    bound: f64,
+    upper_bound: f64,
     /// Share of each class among the independent arrivals.
     shares: Vec<f64>,
     /// Mean number of session reads that follow a write.
@@ -61,15 +61,15 @@
     day: Day,
     needs: Vec<Need>,
     variations: Vec<f64>,
-    floods: Vec<PlannedFault>,
+    surges: Vec<PlannedFault>,
     sessions: u64,
     end: Ns,
     rates: ArrivalRates,
-    at: f64,
-    next: u64,
+    last_drawn_at: f64,
+    last_request: u64,
     rng: Rng,
     followers: BinaryHeap<Reverse<Arrival>>,
-    coming: Option<Arrival>,
+    next_independent: Option<Arrival>,
 }
 
 impl Arrivals {
@@ -77,42 +77,47 @@
     pub fn new(spec: &Spec, seed: u64) -> Self {
         let day = Day::draw(spec, seed);
         let needs: Vec<Need> = spec.classes.iter().map(|c| c.need).collect();
-        let sum = |need: Need| -> f64 {
-            let of = needs.iter().zip(&day.demand.class_shares);
-            of.filter(|(n, _)| **n == need)
+        let share_of = |need: Need| -> f64 {
+            let class_shares = needs.iter().zip(&day.demand.class_shares);
+            class_shares
+                .filter(|(n, _)| **n == need)
                 .map(|(_, share)| share)
                 .sum()
         };
-        let (reads, writes) = (sum(Need::Session), sum(Need::Write));
-        let follow = if writes > 0.0 {
-            reads * day.demand.follows
+        let (read_share, write_share) = (share_of(Need::Session), share_of(Need::Write));
+        let follower_share = if write_share > 0.0 {
+            read_share * day.demand.follows
         } else {
             0.0
         };
         let mut shares = day.demand.class_shares.clone();
         for (share, need) in shares.iter_mut().zip(&needs) {
-            if *need == Need::Session && reads > 0.0 {
-                *share *= 1.0 - follow / reads;
+            if *need == Need::Session && read_share > 0.0 {
+                *share *= 1.0 - follower_share / read_share;
             }
         }
-        let floods: Vec<PlannedFault> = faults::plan(spec, seed)
+        let surges: Vec<PlannedFault> = faults::plan(spec, seed)
             .into_iter()
             .filter(|p| p.fault.flood.is_some())
             .collect();
         let mut rng = Rng::new(seed, Stream::Arrivals);
         let phase = rng.between(0.0, std::f64::consts::TAU);
-        let base = day.demand.rate * (1.0 - follow);
-        let most: f64 = floods.iter().map(|f| f.part).sum();
+        let base = day.demand.rate * (1.0 - follower_share);
+        let max_surge: f64 = surges.iter().map(|f| f.part).sum();
         let mut arrivals = Arrivals {
             needs,
             variations: spec.classes.iter().map(|c| c.work_variation).collect(),
             sessions: u64::from(spec.traffic.sessions),
             end: seconds(spec.length_s),
             rates: ArrivalRates {
-                bound: base * (1.0 + spec.traffic.swing + most),
+                upper_bound: base * (1.0 + spec.traffic.swing + max_surge),
                 base,
                 shares,
-                followers_per_write: if writes > 0.0 { follow / writes } else { 0.0 },
+                followers_per_write: if write_share > 0.0 {
+                    follower_share / write_share
+                } else {
+                    0.0
+                },
                 swing: Swing {
                     amplitude: spec.traffic.swing,
                     period: spec.traffic.swing_s * 1e9,
@@ -120,68 +125,73 @@
                 },
             },
             day,
-            floods,
-            at: 0.0,
-            next: 0,
+            surges,
+            last_drawn_at: 0.0,
+            last_request: 0,
             rng,
             followers: BinaryHeap::new(),
-            coming: None,
+            next_independent: None,
         };
-        arrivals.coming = arrivals.draw();
+        arrivals.next_independent = arrivals.draw_independent();
         arrivals
     }
 
     /// Draws the next independent arrival; `None` after the end of the run.
-    fn draw(&mut self) -> Option<Arrival> {
+    fn draw_independent(&mut self) -> Option<Arrival> {
         loop {
             // Thinning: candidates are drawn at the upper bound of the rate, and each is accepted with the probability
             // `current rate / bound`.
-            let step = self.rng.exponential((1e9 / self.rates.bound) as Ns).max(1);
-            self.at += step as f64;
-            if self.at >= self.end as f64 {
+            let step = self
+                .rng
+                .exponential((1e9 / self.rates.upper_bound) as Ns)
+                .max(1);
+            self.last_drawn_at += step as f64;
+            if self.last_drawn_at >= self.end as f64 {
                 return None;
             }
             let swing = &self.rates.swing;
-            let angle = std::f64::consts::TAU * self.at / swing.period + swing.phase;
-            let calm = 1.0 + swing.amplitude * angle.sin();
-            let now = self.at as Ns;
-            let on = |f: &&PlannedFault| f.from <= now && now < f.until;
-            let flood: f64 = self.floods.iter().filter(on).map(|f| f.part).sum();
-            let kept = self.rng.unit() * self.rates.bound;
-            if kept >= self.rates.base * (calm + flood) {
+            let angle = std::f64::consts::TAU * self.last_drawn_at / swing.period + swing.phase;
+            let swing_factor = 1.0 + swing.amplitude * angle.sin();
+            let now = self.last_drawn_at as Ns;
+            let active = |f: &&PlannedFault| f.from <= now && now < f.until;
+            let surge: f64 = self.surges.iter().filter(active).map(|f| f.part).sum();
+            let candidate = self.rng.unit() * self.rates.upper_bound;
+            if candidate >= self.rates.base * (swing_factor + surge) {
                 continue;
             }
-            let set = if kept < self.rates.base * calm {
-                self.any_set()
+            let set = if candidate < self.rates.base * swing_factor {
+                self.random_set()
             } else {
-                self.flooded_set(now)
+                self.surging_set(now)
             };
-            let class = weighted(&self.rates.shares, self.rng.unit());
+            let class = weighted_index(&self.rates.shares, self.rng.unit());
             let session =
                 set.0 as u64 * self.sessions + self.rng.index(self.sessions as usize) as u64;
-            return Some(self.arrival(now, set, class, session));
+            return Some(self.new_arrival(now, set, class, session));
         }
     }
 
-    fn any_set(&mut self) -> SetId {
-        SetId(weighted(&self.day.demand.set_shares, self.rng.unit()) as u32)
+    fn random_set(&mut self) -> SetId {
+        SetId(weighted_index(&self.day.demand.set_shares, self.rng.unit()) as u32)
     }
 
-    fn flooded_set(&mut self, now: Ns) -> SetId {
-        let on: Vec<&PlannedFault> = self
-            .floods
+    fn surging_set(&mut self, now: Ns) -> SetId {
+        let active: Vec<&PlannedFault> = self
+            .surges
             .iter()
             .filter(|f| f.from <= now && now < f.until)
             .collect();
-        let parts: Vec<f64> = on.iter().map(|f| f.part).collect();
+        let parts: Vec<f64> = active.iter().map(|f| f.part).collect();
         let sum: f64 = parts.iter().sum();
         let shares: Vec<f64> = parts.iter().map(|p| p / sum.max(1e-12)).collect();
-        let sets = on[weighted(&shares, self.rng.unit())].sets.clone();
+        let sets = active[weighted_index(&shares, self.rng.unit())]
+            .sets
+            .clone();
         sets[self.rng.index(sets.len())]
     }
 
-    fn arrival(&mut self, at: Ns, set: SetId, class: usize, session: u64) -> Arrival {
-        self.next += 1;
+    fn new_arrival(&mut self, at: Ns, set: SetId, class: usize, session: u64) -> Arrival {
+        self.last_request += 1;
         let work = self
             .rng
             .log_normal(self.day.demand.work[class], self.variations[class]);
@@ -190,13 +200,13 @@
         let (pick, roams) = (self.rng.number(), self.rng.chance(self.day.demand.roams));
         Arrival {
             at,
-            call: self.next,
+            call: self.last_request,
             set,
             class,
             work: (work as Ns).max(1000),
             session: has_session.then_some(session),
             // The key is never 0, and all tries of the request carry the same key.
-            key: (need == Need::Write).then_some(self.next << 8 | 1),
+            key: (need == Need::Write).then_some(self.last_request << 8 | 1),
             pick,
             roams,
         }
@@ -204,7 +214,7 @@
 }
 
 /// Returns the index of the share into which the fraction `at` of the total falls.
-fn weighted(shares: &[f64], mut at: f64) -> usize {
+fn weighted_index(shares: &[f64], mut at: f64) -> usize {
     let sum: f64 = shares.iter().sum();
     at *= sum;
     for (i, share) in shares.iter().enumerate() {
@@ -220,7 +230,7 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let follower_first = match (self.followers.peek(), &self.coming) {
+        let follower_first = match (self.followers.peek(), &self.next_independent) {
             (Some(Reverse(f)), Some(c)) => (f.at, f.call) < (c.at, c.call),
             (Some(_), None) => true,
             (None, _) => false,
@@ -228,22 +238,22 @@
         if follower_first {
             return self.followers.pop().map(|Reverse(f)| f);
         }
-        let arrival = self.coming.take()?;
+        let arrival = self.next_independent.take()?;
         if self.needs[arrival.class] == Need::Write {
-            let reads: Vec<f64> = (self.needs.iter().zip(&self.day.demand.class_shares))
+            let read_shares: Vec<f64> = (self.needs.iter().zip(&self.day.demand.class_shares))
                 .map(|(n, share)| if *n == Need::Session { *share } else { 0.0 })
                 .collect();
             for _ in 0..self.rng.poisson(self.rates.followers_per_write) {
                 let at = arrival.at + self.rng.exponential(self.day.demand.gap).max(1);
-                let class = weighted(&reads, self.rng.unit());
+                let class = weighted_index(&read_shares, self.rng.unit());
                 let session = arrival.session.unwrap_or(0);
-                let follower = self.arrival(at, arrival.set, class, session);
+                let follower = self.new_arrival(at, arrival.set, class, session);
                 if at < self.end {
                     self.followers.push(Reverse(follower));
                 }
             }
         }
-        self.coming = self.draw();
+        self.next_independent = self.draw_independent();
         Some(arrival)
     }
 }
@@ -323,7 +333,7 @@
 struct Call {
     arrival: Arrival,
     number: u32,
-    out: bool,
+    in_flight: bool,
     /// Time at which the first try that may have run was sent; `None` if none can have run.
     may_have_run: Option<Ns>,
     backoff: Ns,
@@ -333,7 +343,7 @@
 struct RetryPolicy {
     spec: ClientSpec,
     /// Time during which a set ignores a repeat of a keyed write, from the arrival of the first copy.
-    window: Ns,
+    repeat_window: Ns,
     patience: f64,
     backoff: Ns,
     honour: f64,
@@ -343,9 +353,9 @@
 struct Front {
     gateways: u32,
     /// Dead gateways, each with the time of its death.
-    dead: BTreeMap<GatewayId, Ns>,
+    dead_since: BTreeMap<GatewayId, Ns>,
     /// Time from the death of a gateway until the front stops sending to it.
-    notice: Ns,
+    detection_delay: Ns,
 }
 
 /// The clients and the front layer.
@@ -371,15 +381,15 @@
             needs: spec.classes.iter().map(|c| c.need).collect(),
             retry: RetryPolicy {
                 spec: spec.clients.clone(),
-                window: seconds(spec.sets.window_s),
+                repeat_window: seconds(spec.sets.window_s),
                 patience: day.clients.patience,
                 backoff: day.clients.backoff,
                 honour: day.clients.honour,
             },
             front: Front {
                 gateways: spec.gateways,
-                dead: BTreeMap::new(),
-                notice: day.clients.front_notice,
+                dead_since: BTreeMap::new(),
+                detection_delay: day.clients.front_notice,
             },
             open: HashMap::new(),
             marks: HashMap::new(),
@@ -395,9 +405,9 @@
     /// Records that a gateway died (`up` is false) or started again.
     pub fn set_gateway_state(&mut self, now: Ns, gateway: GatewayId, up: bool) {
         if up {
-            self.front.dead.remove(&gateway);
+            self.front.dead_since.remove(&gateway);
         } else {
-            self.front.dead.insert(gateway, now);
+            self.front.dead_since.insert(gateway, now);
         }
     }
 
@@ -405,18 +415,18 @@
     /// no session or that roams. The front keeps sending to a dead gateway until it detects the failure.
     fn choose_gateway(&self, now: Ns, arrival: &Arrival, number: u32) -> GatewayId {
         let count = u64::from(self.front.gateways.max(1));
-        let sticky = arrival.session.filter(|_| !arrival.roams);
-        let pick = match sticky {
-            Some(session) => mix(session),
-            None => mix(arrival.pick ^ u64::from(number)),
+        let bound_session = arrival.session.filter(|_| !arrival.roams);
+        let random = match bound_session {
+            Some(session) => hash(session),
+            None => hash(arrival.pick ^ u64::from(number)),
         };
         let known_dead = |g: GatewayId| {
             self.front
-                .dead
+                .dead_since
                 .get(&g)
-                .is_some_and(|&since| now >= since + self.front.notice)
+                .is_some_and(|&since| now >= since + self.front.detection_delay)
         };
-        let first = GatewayId((pick % count) as u32);
+        let first = GatewayId((random % count) as u32);
         if !known_dead(first) {
             return first;
         }
@@ -427,7 +437,7 @@
         if alive.is_empty() {
             first
         } else {
-            alive[(mix(pick) % alive.len() as u64) as usize]
+            alive[(hash(random) % alive.len() as u64) as usize]
         }
     }
 
@@ -436,22 +446,22 @@
         let call = Call {
             arrival,
             number: 0,
-            out: false,
+            in_flight: false,
             may_have_run: None,
             backoff: self.retry.backoff,
         };
         self.open.insert(arrival.call, call);
-        self.attempt(now, arrival.call)
+        self.start_try(now, arrival.call)
     }
 
     /// Returns the next try, to be sent at the time that [`NextStep::Again`] gave; `None` if the request is finished.
     pub fn next_try(&mut self, now: Ns, call: u64) -> Option<Try> {
         self.open
             .contains_key(&call)
-            .then(|| self.attempt(now, call))
+            .then(|| self.start_try(now, call))
     }
 
-    fn attempt(&mut self, now: Ns, id: u64) -> Try {
+    fn start_try(&mut self, now: Ns, id: u64) -> Try {
         let call = &self.open[&id];
         let arrival = call.arrival;
         let number = call.number;
@@ -465,10 +475,10 @@
             .copied();
         // Whether a client leaves early is derived from the request's own random number, so that it does not depend
         // on the draws for other requests.
-        let draw = mix(arrival.pick ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
+        let draw = hash(arrival.pick ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
         let leaves = (draw < self.retry.spec.impatient).then_some(now + patience / 2);
         if let Some(call) = self.open.get_mut(&id) {
-            call.out = true;
+            call.in_flight = true;
         }
         let marked = self.retry.spec.marked && number > 0;
         let mark = mark.unwrap_or(0);
@@ -497,12 +507,12 @@
         let Some(call) = self
             .open
             .get_mut(&id)
-            .filter(|c| c.out && c.number == number)
+            .filter(|c| c.in_flight && c.number == number)
         else {
             return NextStep::Nothing;
         };
-        call.out = false;
-        let write = self.needs[call.arrival.class] == Need::Write;
+        call.in_flight = false;
+        let is_write = self.needs[call.arrival.class] == Need::Write;
         if matches!(
             outcome,
             TryOutcome::Failed | TryOutcome::Broken | TryOutcome::TimedOut | TryOutcome::Left
@@ -518,14 +528,14 @@
         }
         let (number, backoff, may_have_run) = (call.number, call.backoff, call.may_have_run);
         let at = now + self.retry_delay(backoff, outcome);
-        let may = match (write, self.retry.spec.writes, may_have_run) {
+        let may_retry = match (is_write, self.retry.spec.writes, may_have_run) {
             (false, ..) | (_, WriteRepeats::Always, _) | (_, _, None) => true,
             (_, WriteRepeats::Refused, Some(_)) => false,
             // The set ignores a repeat that arrives within the window. A third of the window is reserved for the time
             // from the client to the host, queueing included.
-            (_, WriteRepeats::Window, Some(first)) => at < first + self.retry.window * 2 / 3,
+            (_, WriteRepeats::Window, Some(first)) => at < first + self.retry.repeat_window * 2 / 3,
         };
-        if number >= self.retry.spec.retries || outcome == TryOutcome::Left || !may {
+        if number >= self.retry.spec.retries || outcome == TryOutcome::Left || !may_retry {
             return self.finish_request(id, None, outcome);
         }
         if let Some(call) = self.open.get_mut(&id) {
@@ -536,14 +546,14 @@
     }
 
     fn retry_delay(&mut self, backoff: Ns, outcome: TryOutcome) -> Ns {
-        let chance = self.rng.between(0.5, 1.5);
-        let own = (backoff as f64 * chance) as Ns;
+        let factor = self.rng.between(0.5, 1.5);
+        let delay = (backoff as f64 * factor) as Ns;
         let honours = self.rng.chance(self.retry.honour);
         match outcome {
             TryOutcome::Refused { pause: Some(pause) } if honours => {
-                own.max(pause.min(ms(self.retry.spec.longest_wait_ms)))
+                delay.max(pause.min(ms(self.retry.spec.longest_wait_ms)))
             }
-            _ => own,
+            _ => delay,
         }
     }
 
@@ -566,7 +576,7 @@
 }
 
 /// Hashes a number (the finaliser of SplitMix64).
-fn mix(x: u64) -> u64 {
+fn hash(x: u64) -> u64 {
     let mut z = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/simulation/src/cpu.rs
+++ b/crates/simulation/src/cpu.rs
@@ -39,8 +39,8 @@
         if t >= self.end() {
             return 1.0;
         }
-        let gone = (t - self.start).max(0) as f64 / self.length.max(1) as f64;
-        self.from + (1.0 - self.from) * gone
+        let elapsed_share = (t - self.start).max(0) as f64 / self.length.max(1) as f64;
+        self.from + (1.0 - self.from) * elapsed_share
     }
 
     /// Returns the time at which the ramp reaches full capacity.
@@ -54,7 +54,7 @@
     }
 
     /// Returns the time at which the ramp reaches a fraction.
-    fn when(&self, part: f64) -> f64 {
+    fn time_at(&self, part: f64) -> f64 {
         self.start as f64 + (part - self.from) / self.slope().max(f64::MIN_POSITIVE)
     }
 }
@@ -85,15 +85,15 @@
 /// The cores of a host and the jobs that share them.
 #[derive(Clone, Debug)]
 pub struct Cpu {
-    at: Ns,
+    advanced_to: Ns,
     service: f64,
     cores: f64,
     /// Work that a core does per nanosecond: the efficiency divided by the slowdown.
-    pace: f64,
+    speed: f64,
     ramp: Ramp,
     frozen: bool,
     jobs: BinaryHeap<Reverse<Finish>>,
-    order: u64,
+    last_order: u64,
     /// Work done so far, in nanoseconds on one core.
     used: f64,
 }
@@ -102,14 +102,14 @@
     /// Creates cores that are idle and warm.
     pub fn new(cores: f64, now: Ns) -> Self {
         Cpu {
-            at: now,
+            advanced_to: now,
             service: 0.0,
             cores,
-            pace: 1.0,
+            speed: 1.0,
             ramp: Ramp::warm(),
             frozen: false,
             jobs: BinaryHeap::new(),
-            order: 0,
+            last_order: 0,
             used: 0.0,
         }
     }
@@ -121,7 +121,7 @@
 
     /// Returns the capacity at a time, in cores.
     pub fn capacity(&self, now: Ns) -> f64 {
-        self.cores * self.ramp.at(now) * self.pace
+        self.cores * self.ramp.at(now) * self.speed
     }
 
     /// Returns the work done so far, in nanoseconds on one core.
@@ -135,10 +135,10 @@
     }
 
     /// Changes the number of cores and the work that each does per nanosecond, from `now` on.
-    pub fn set_capacity(&mut self, now: Ns, cores: f64, pace: f64) {
+    pub fn set_capacity(&mut self, now: Ns, cores: f64, speed: f64) {
         self.advance(now);
         self.cores = cores.max(0.01);
-        self.pace = pace.max(0.001);
+        self.speed = speed.max(0.001);
     }
 
     /// Replaces the ramp, from `now` on.
@@ -162,11 +162,11 @@
     /// Adds a job with this much work.
     pub fn add(&mut self, now: Ns, work: Ns, job: u64) {
         self.advance(now);
-        self.order += 1;
+        self.last_order += 1;
         let service = self.service + work.max(1) as f64;
         self.jobs.push(Reverse(Finish {
             service,
-            order: self.order,
+            order: self.last_order,
             job,
         }));
     }
@@ -177,8 +177,8 @@
         if self.frozen {
             return None;
         }
-        let left = first.service - self.service;
-        Some(self.at + self.time_for(left.max(0.0)).ceil().max(0.0) as Ns)
+        let remaining = first.service - self.service;
+        Some(self.advanced_to + self.time_to_attain(remaining.max(0.0)).ceil().max(0.0) as Ns)
     }
 
     /// Removes and returns the next job that has finished by `now`.
@@ -198,13 +198,13 @@
 
     /// Advances the attained service to `now`; a time in the past has no effect.
     pub fn advance(&mut self, now: Ns) {
-        if now > self.at {
+        if now > self.advanced_to {
             if !self.frozen && !self.jobs.is_empty() {
-                let gained = self.gain((now - self.at) as f64);
+                let gained = self.service_gained((now - self.advanced_to) as f64);
                 self.service += gained;
                 self.used += gained * self.jobs.len() as f64;
             }
-            self.at = now;
+            self.advanced_to = now;
         }
     }
 
@@ -217,36 +217,36 @@
     /// Returns the time for which the share of a job still grows: until the end of the ramp, or until the share reaches
     /// a full core.
     fn growth_time(&self) -> f64 {
-        let at = self.at as f64;
+        let at = self.advanced_to as f64;
         let part = self.cores_per_job();
-        if self.at >= self.ramp.end() || part * self.ramp.at(self.at) >= 1.0 {
+        if self.advanced_to >= self.ramp.end() || part * self.ramp.at(self.advanced_to) >= 1.0 {
             return 0.0;
         }
-        let whole = if part > 1.0 {
-            self.ramp.when(1.0 / part)
+        let full_core_at = if part > 1.0 {
+            self.ramp.time_at(1.0 / part)
         } else {
             f64::INFINITY
         };
-        (whole.min(self.ramp.end() as f64) - at).max(0.0)
+        (full_core_at.min(self.ramp.end() as f64) - at).max(0.0)
     }
 
-    fn gain(&self, time: f64) -> f64 {
-        let grows = self.growth_time().min(time);
-        let rate = self.cores_per_job() * self.ramp.at(self.at);
-        let rise = self.cores_per_job() * self.ramp.slope();
-        let first = if grows > 0.0 {
-            rate * grows + rise * grows * grows / 2.0
+    fn service_gained(&self, time: f64) -> f64 {
+        let growth_time = self.growth_time().min(time);
+        let rate = self.cores_per_job() * self.ramp.at(self.advanced_to);
+        let growth_rate = self.cores_per_job() * self.ramp.slope();
+        let growth_service = if growth_time > 0.0 {
+            rate * growth_time + growth_rate * growth_time * growth_time / 2.0
         } else {
             0.0
         };
-        let then = self.settled_rate();
-        (first + then * (time - grows).max(0.0)) * self.pace
+        let settled_rate = self.settled_rate();
+        (growth_service + settled_rate * (time - growth_time).max(0.0)) * self.speed
     }
 
     /// Returns the cores that a job has once its share no longer grows.
     fn settled_rate(&self) -> f64 {
-        let grew = self.growth_time();
-        let end = self.at as f64 + grew;
+        let growth_time = self.growth_time();
+        let end = self.advanced_to as f64 + growth_time;
         let part = if end >= self.ramp.end() as f64 {
             1.0
         } else {
@@ -255,16 +255,17 @@
         (self.cores_per_job() * part).min(1.0)
     }
 
-    fn time_for(&self, service: f64) -> f64 {
-        let need = service / self.pace;
-        let grows = self.growth_time();
-        let rate = self.cores_per_job() * self.ramp.at(self.at);
-        let rise = self.cores_per_job() * self.ramp.slope();
-        let first = rate * grows + rise * grows * grows / 2.0;
-        if grows > 0.0 && need <= first {
-            // Solves rise/2 x^2 + rate x = need, in the form that is numerically stable for a rise close to zero.
-            return 2.0 * need / (rate + (rate * rate + 2.0 * rise * need).sqrt());
+    fn time_to_attain(&self, service: f64) -> f64 {
+        let needed_service = service / self.speed;
+        let growth_time = self.growth_time();
+        let rate = self.cores_per_job() * self.ramp.at(self.advanced_to);
+        let growth_rate = self.cores_per_job() * self.ramp.slope();
+        let growth_service = rate * growth_time + growth_rate * growth_time * growth_time / 2.0;
+        if growth_time > 0.0 && needed_service <= growth_service {
+            // Solves growth_rate/2 x^2 + rate x = needed_service, in the form that is numerically stable for a rise close to zero.
+            return 2.0 * needed_service
+                / (rate + (rate * rate + 2.0 * growth_rate * needed_service).sqrt());
         }
-        grows + (need - first) / self.settled_rate().max(1e-12)
+        growth_time + (needed_service - growth_service) / self.settled_rate().max(1e-12)
     }
 }
--- a/crates/simulation/src/fleet/fault_effects.rs
+++ b/crates/simulation/src/fleet/fault_effects.rs
@@ -81,7 +81,7 @@
             self.hosts[host_index].condition.errors = failing.part;
         } else if fault.slow_apply.is_some() {
             let applier = &mut self.hosts[host_index].applier;
-            applier.slow(now, source, planned.times);
+            applier.set_slowdown(now, source, planned.times);
         } else if fault.slowdown.is_some() {
             self.hosts[host_index].slow_by(&self.spec.hosts, now, planned.times);
             self.schedule_finish(now, host);
@@ -153,7 +153,9 @@
             self.hosts[host_index].condition.errors = self.spec.hosts.errors;
         } else if fault.slow_apply.is_some() {
             let source = self.sets[self.hosts[host_index].set.0 as usize].source(&self.day);
-            self.hosts[host_index].applier.slow(now, source, 1.0);
+            self.hosts[host_index]
+                .applier
+                .set_slowdown(now, source, 1.0);
         } else if fault.slowdown.is_some() {
             self.hosts[host_index].slow_by(&self.spec.hosts, now, 1.0 / planned.times);
             self.schedule_finish(now, host);
--- a/crates/simulation/src/fleet/queries.rs
+++ b/crates/simulation/src/fleet/queries.rs
@@ -234,7 +234,7 @@
         let (host, query) = (*host, query.clone());
         let (had, needed) = self.applied_and_needed(now, host, &query);
         let set = &self.sets[self.hosts[host.0 as usize].set.0 as usize];
-        let needed = set.log.until(needed);
+        let needed = set.log.count_until(needed);
         let primary = set.primary == Some(host);
         let stops = self.spec.classes[query.class].blocks && !primary;
         if stops {
--- a/crates/simulation/src/fleet/replica_set.rs
+++ b/crates/simulation/src/fleet/replica_set.rs
@@ -50,13 +50,13 @@
     pub(super) fn source<'a>(&'a self, day: &Day) -> Source<'a> {
         let primary_signal = PrimarySignal {
             since: self.primary_since,
-            stood: self.last_position,
-            ship: day.replication.ship,
+            last_position: self.last_position,
+            shipping_delay: day.replication.ship,
         };
         Source {
             log: &self.log,
             primary_signal,
-            cost: day.replication.apply,
+            apply_time: day.replication.apply,
         }
     }
 
--- a/crates/simulation/tests/host.rs
+++ b/crates/simulation/tests/host.rs
@@ -33,10 +33,10 @@
         log: &log,
         primary_signal: PrimarySignal {
             since: Some(0),
-            stood: 0,
-            ship: 1,
+            last_position: 0,
+            shipping_delay: 1,
         },
-        cost: 1,
+        apply_time: 1,
     };
     let mut h = Host::new(
         HostId(0),
