--- a/crates/simulation/src/cpu.rs
+++ b/crates/simulation/src/cpu.rs
@@ -262,7 +262,8 @@
         let growth_rate = self.cores_per_job() * self.ramp.slope();
         let growth_service = rate * growth_time + growth_rate * growth_time * growth_time / 2.0;
         if growth_time > 0.0 && needed_service <= growth_service {
-            // Solves growth_rate/2 x^2 + rate x = needed_service, in the form that is numerically stable for a rise close to zero.
+            // Solves growth_rate/2 x^2 + rate x = needed_service, in the form that is numerically stable for a
+            // growth rate close to zero.
             return 2.0 * needed_service
                 / (rate + (rate * rate + 2.0 * growth_rate * needed_service).sqrt());
         }
--- a/crates/simulation/src/endpoint_list.rs
+++ b/crates/simulation/src/endpoint_list.rs
@@ -63,12 +63,12 @@
 /// The list and every gateway's view of it.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    notice: (f64, f64),
-    silent_notice: (f64, f64),
+    notice_range: (f64, f64),
+    silent_notice_range: (f64, f64),
     spread: Ns,
     rng: Rng,
     views: Vec<EndpointView>,
-    order: u64,
+    last_order: u64,
     silent: bool,
     /// Notifications that came due while discovery was silent.
     withheld: Vec<(GatewayId, ListEntry)>,
@@ -83,7 +83,7 @@
         hosts: impl Iterator<Item = (HostId, SetId)>,
     ) -> Self {
         let mut rng = Rng::new(seed, Stream::EndpointList);
-        let line = |(host, set)| {
+        let entry = |(host, set)| {
             (
                 host,
                 ListEntry {
@@ -97,17 +97,17 @@
         };
         let view = EndpointView {
             version: 1,
-            entries: hosts.map(line).collect(),
+            entries: hosts.map(entry).collect(),
             drain_notices: BTreeMap::new(),
         };
-        let ends = |b: crate::spec::ValueOrRange| (b.ends()[0], b.ends()[1]);
+        let bounds = |range: crate::spec::ValueOrRange| (range.bounds()[0], range.bounds()[1]);
         EndpointList {
-            notice: ends(spec.notice_s),
-            silent_notice: ends(spec.silent_notice_s),
+            notice_range: bounds(spec.notice_s),
+            silent_notice_range: bounds(spec.silent_notice_s),
             spread: ms(spec.spread_ms.draw(&mut rng)),
             rng,
             views: vec![view; gateways as usize],
-            order: 0,
+            last_order: 0,
             silent: false,
             withheld: Vec::new(),
         }
@@ -129,22 +129,22 @@
         since: Ns,
         silent: bool,
     ) -> Vec<Notification> {
-        self.order += 1;
+        self.last_order += 1;
         let (low, high) = if silent {
-            self.silent_notice
+            self.silent_notice_range
         } else {
-            self.notice
+            self.notice_range
         };
-        let noticed = now + seconds(self.rng.between(low, high));
+        let detected_at = now + seconds(self.rng.between(low, high));
         let entry = ListEntry {
             host,
             set,
             listed,
             since,
-            order: self.order,
+            order: self.last_order,
         };
         let notification = |g: usize, rng: &mut Rng| Notification {
-            at: noticed + (rng.unit() * self.spread as f64) as Ns,
+            at: detected_at + (rng.unit() * self.spread as f64) as Ns,
             gateway: GatewayId(g as u32),
             entry,
         };
--- a/crates/simulation/src/event_queue.rs
+++ b/crates/simulation/src/event_queue.rs
@@ -12,7 +12,7 @@
     keys: BinaryHeap<Reverse<(Ns, u64, u32)>>,
     events: Vec<Option<E>>,
     free: Vec<u32>,
-    order: u64,
+    last_order: u64,
 }
 
 impl<E> Default for EventQueue<E> {
@@ -21,7 +21,7 @@
             keys: BinaryHeap::new(),
             events: Vec::new(),
             free: Vec::new(),
-            order: 0,
+            last_order: 0,
         }
     }
 }
@@ -39,8 +39,8 @@
                 (self.events.len() - 1) as u32
             }
         };
-        self.order += 1;
-        self.keys.push(Reverse((at, self.order, slot)));
+        self.last_order += 1;
+        self.keys.push(Reverse((at, self.last_order, slot)));
     }
 
     /// Returns the time at which the next event is due.
--- a/crates/simulation/src/faults.rs
+++ b/crates/simulation/src/faults.rs
@@ -57,31 +57,31 @@
     );
     let from = seconds(fault.at_s.draw(&mut rng));
     let until = from + seconds(fault.for_s.draw(&mut rng));
-    let slow = fault.slow_apply.as_ref().or(fault.slowdown.as_ref());
-    let times = slow.map_or(1.0, |s| s.times.draw(&mut rng));
+    let slowdown = fault.slow_apply.as_ref().or(fault.slowdown.as_ref());
+    let times = slowdown.map_or(1.0, |s| s.times.draw(&mut rng));
     let flood = fault.flood.as_ref();
     let part = flood.map_or(0.0, |f| f.part.draw(&mut rng));
     let sets = flood.map_or(Vec::new(), |f| {
         rng.choose(f.sets as usize, spec.set_count() as usize)
     });
-    let restarts = fault.gateways_killed.as_ref().map_or(Vec::new(), |w| {
+    let restarts = fault.gateways_killed.as_ref().map_or(Vec::new(), |waves| {
         draw_restarts(
             spec.gateways,
-            w.share,
-            w.at_a_time,
-            w.down_s,
+            waves.share,
+            waves.at_a_time,
+            waves.down_s,
             from,
             until,
             &mut rng,
         )
     });
-    let side = fault
+    let cut_share = fault
         .cut_off
         .as_ref()
         .map(|c| c.gateways)
         .or(fault.split.as_ref().map(|s| s.part));
-    let cut = side.map_or(Vec::new(), |part| {
-        rng.choose(part_of(part, spec.gateways), spec.gateways as usize)
+    let cut = cut_share.map_or(Vec::new(), |part| {
+        rng.choose(count_of_share(part, spec.gateways), spec.gateways as usize)
     });
     PlannedFault {
         name: fault.kinds().first().copied().unwrap_or("nothing"),
@@ -97,7 +97,7 @@
 }
 
 /// Returns the number that a share of `of` comes to, rounded; at least one for a share over 0.
-fn part_of(share: f64, of: u32) -> usize {
+fn count_of_share(share: f64, of: u32) -> usize {
     if share <= 0.0 {
         return 0;
     }
@@ -113,61 +113,61 @@
     until: Ns,
     rng: &mut Rng,
 ) -> Vec<GatewayRestart> {
-    let mut struck = rng.choose(part_of(share, gateways), gateways as usize);
+    let mut affected = rng.choose(count_of_share(share, gateways), gateways as usize);
     // Shuffled, because `choose` returns them in ascending order.
-    for i in (1..struck.len()).rev() {
+    for i in (1..affected.len()).rev() {
         let j = rng.index(i + 1);
-        struck.swap(i, j);
+        affected.swap(i, j);
     }
-    let batch = part_of(at_a_time, gateways).max(1);
-    let count = struck.len().div_ceil(batch).max(1) as Ns;
-    let mut all = Vec::new();
-    for (wave, gateways) in struck.chunks(batch).enumerate() {
-        let at = from + (until - from) * wave as Ns / count;
+    let wave_size = count_of_share(at_a_time, gateways).max(1);
+    let wave_count = affected.len().div_ceil(wave_size).max(1) as Ns;
+    let mut restarts = Vec::new();
+    for (wave, gateways) in affected.chunks(wave_size).enumerate() {
+        let at = from + (until - from) * wave as Ns / wave_count;
         for &g in gateways {
-            all.push(GatewayRestart {
+            restarts.push(GatewayRestart {
                 gateway: GatewayId(g as u32),
                 down_at: at,
                 up_at: at + seconds(down.draw(rng)),
             });
         }
     }
-    all
+    restarts
 }
 
 /// Chooses hosts of a selection among `hosts`. Each choice takes a primary with the probability that the settings give.
-pub fn pick(
-    pick: &HostSelection,
+pub fn choose_hosts(
+    selection: &HostSelection,
     hosts: &[HostId],
     is_primary: impl Fn(HostId) -> bool,
     rng: &mut Rng,
 ) -> Vec<HostId> {
-    if let Some(these) = &pick.these {
+    if let Some(these) = &selection.these {
         return these
             .iter()
             .map(|&h| HostId(h))
             .filter(|h| hosts.contains(h))
             .collect();
     }
-    let count = match (pick.count, pick.share) {
+    let count = match (selection.count, selection.share) {
         (Some(count), _) => count as usize,
-        (None, share) => part_of(share.unwrap_or(0.0), hosts.len() as u32),
+        (None, share) => count_of_share(share.unwrap_or(0.0), hosts.len() as u32),
     };
-    let mut left: Vec<HostId> = hosts.to_vec();
-    let mut picked = Vec::new();
-    while picked.len() < count && !left.is_empty() {
-        let wanted = pick.primaries.is_some_and(|p| rng.chance(p));
-        let pool: Vec<usize> = (0..left.len())
-            .filter(|&i| !wanted || is_primary(left[i]))
+    let mut remaining: Vec<HostId> = hosts.to_vec();
+    let mut chosen = Vec::new();
+    while chosen.len() < count && !remaining.is_empty() {
+        let wants_primary = selection.primaries.is_some_and(|p| rng.chance(p));
+        let candidates: Vec<usize> = (0..remaining.len())
+            .filter(|&i| !wants_primary || is_primary(remaining[i]))
             .collect();
-        let at = if pool.is_empty() {
-            rng.index(left.len())
+        let at = if candidates.is_empty() {
+            rng.index(remaining.len())
         } else {
-            pool[rng.index(pool.len())]
+            candidates[rng.index(candidates.len())]
         };
-        picked.push(left.swap_remove(at));
-        left.sort_unstable();
+        chosen.push(remaining.swap_remove(at));
+        remaining.sort_unstable();
     }
-    picked.sort_unstable();
-    picked
+    chosen.sort_unstable();
+    chosen
 }
--- a/crates/simulation/src/fleet/elections.rs
+++ b/crates/simulation/src/fleet/elections.rs
@@ -16,14 +16,14 @@
     pub(super) fn draw_role_delay(&mut self, set: SetId, range: ValueOrRange) -> Ns {
         let replica_set = &mut self.sets[set.0 as usize];
         replica_set.role_delays_drawn += 1;
-        let own = u64::from(set.0).rotate_left(32) ^ u64::from(replica_set.role_delays_drawn);
-        seconds(range.draw(&mut Rng::new(self.random.seed ^ own, Stream::Fleet)))
+        let draw_id = u64::from(set.0).rotate_left(32) ^ u64::from(replica_set.role_delays_drawn);
+        seconds(range.draw(&mut Rng::new(self.random.seed ^ draw_id, Stream::Fleet)))
     }
 
     /// Handles a primary that stops answering: the replicas' positions stop advancing, and the primary is declared lost
     /// after the detection time.
     pub(super) fn lose_primary(&mut self, now: Ns, set: SetId) {
-        let detect = self.draw_role_delay(set, self.spec.sets.detect_s);
+        let detection_delay = self.draw_role_delay(set, self.spec.sets.detect_s);
         let replica_set = &mut self.sets[set.0 as usize];
         if replica_set.primary_since.take().is_some() {
             replica_set.last_position = now;
@@ -36,16 +36,16 @@
                 .catch_up(now, replica_set.source(&self.day));
         }
         self.outputs.push(Output::Primary { set, host: None });
-        self.schedule(now + detect, Event::PrimaryTimeout { set, term });
+        self.schedule(now + detection_delay, Event::PrimaryTimeout { set, term });
     }
 
     /// Declares the primary lost if it has not resumed within the detection time, and schedules an election.
     pub(super) fn declare_primary_lost(&mut self, now: Ns, set: SetId, term: u32) {
-        let wait = self.draw_role_delay(set, self.spec.sets.elect_s);
+        let election_delay = self.draw_role_delay(set, self.spec.sets.elect_s);
         let replica_set = &mut self.sets[set.0 as usize];
         if replica_set.term == term && replica_set.primary_since.is_none() {
             replica_set.primary = None;
-            self.schedule(now + wait, Event::Elect { set, term });
+            self.schedule(now + election_delay, Event::Elect { set, term });
         }
     }
 
@@ -55,15 +55,15 @@
         if replica_set.term != term || replica_set.primary_since.is_some() {
             return;
         }
-        let from = replica_set.source(&self.day);
+        let source = replica_set.source(&self.day);
         let mut best: Option<(u64, HostId)> = None;
         for &id in &replica_set.members {
             let member = &mut self.hosts[id.0 as usize];
             if member.state != State::Up || member.condition.draining {
                 continue;
             }
-            member.applier.advance(now, from);
-            if best.is_none_or(|(most, _)| member.applier.applied() > most) {
+            member.applier.advance(now, source);
+            if best.is_none_or(|(most_applied, _)| member.applier.applied() > most_applied) {
                 best = Some((member.applier.applied(), id));
             }
         }
@@ -72,7 +72,7 @@
         };
         self.hosts[new_primary.0 as usize]
             .applier
-            .catch_up(now, from);
+            .catch_up(now, source);
         let replica_set = &mut self.sets[set.0 as usize];
         replica_set.primary = Some(new_primary);
         replica_set.primary_since = Some(now);
--- a/crates/simulation/src/fleet/fault_effects.rs
+++ b/crates/simulation/src/fleet/fault_effects.rs
@@ -16,7 +16,7 @@
     /// Begins a planned fault. Its hosts are chosen now, because their roles are not known earlier.
     pub(super) fn begin_fault(&mut self, now: Ns, index: usize) {
         let planned = self.faults.plan[index].clone();
-        let hosts = self.pick_hosts(&planned.fault, index);
+        let hosts = self.choose_hosts(&planned.fault, index);
         for &host in &hosts {
             self.apply_fault(now, &planned, host);
         }
@@ -27,7 +27,7 @@
         if planned.fault.discovery_silent.is_some() {
             self.list.set_silent(true);
         }
-        self.faults.struck_hosts.insert(index, hosts.clone());
+        self.faults.affected_hosts.insert(index, hosts.clone());
         self.outputs.push(Output::Fault {
             index,
             begins: true,
@@ -36,14 +36,14 @@
     }
 
     /// Chooses the hosts that a fault affects, among the running ones. Each fault draws from its own stream.
-    fn pick_hosts(&self, fault: &Fault, index: usize) -> Vec<HostId> {
+    fn choose_hosts(&self, fault: &Fault, index: usize) -> Vec<HostId> {
         let running: Vec<HostId> = self
             .hosts
             .iter()
             .filter(|host| host.state == State::Up)
             .map(|host| host.id)
             .collect();
-        let everywhere = fault.slow_apply.is_some() || fault.slowdown.is_some();
+        let all_by_default = fault.slow_apply.is_some() || fault.slowdown.is_some();
         let selections = fault.host_selections();
         match selections.first() {
             Some((_, selection)) => {
@@ -53,9 +53,9 @@
                     let set = self.hosts[id.0 as usize].set;
                     self.sets[set.0 as usize].primary == Some(id)
                 };
-                faults::pick(selection, &running, is_primary, &mut rng)
+                faults::choose_hosts(selection, &running, is_primary, &mut rng)
             }
-            None if everywhere => running,
+            None if all_by_default => running,
             None => Vec::new(),
         }
     }
@@ -83,7 +83,7 @@
             let applier = &mut self.hosts[host_index].applier;
             applier.set_slowdown(now, source, planned.times);
         } else if fault.slowdown.is_some() {
-            self.hosts[host_index].slow_by(&self.spec.hosts, now, planned.times);
+            self.hosts[host_index].multiply_slowdown(&self.spec.hosts, now, planned.times);
             self.schedule_finish(now, host);
         } else if fault.drain.is_some() {
             self.start_drain(now, host);
@@ -116,7 +116,11 @@
     /// Ends a planned fault: reverts its effects or restarts its hosts.
     pub(super) fn end_fault(&mut self, now: Ns, index: usize) {
         let planned = self.faults.plan[index].clone();
-        let hosts = self.faults.struck_hosts.remove(&index).unwrap_or_default();
+        let hosts = self
+            .faults
+            .affected_hosts
+            .remove(&index)
+            .unwrap_or_default();
         for &host in &hosts {
             self.undo_fault(now, &planned, host);
         }
@@ -157,7 +161,7 @@
                 .applier
                 .set_slowdown(now, source, 1.0);
         } else if fault.slowdown.is_some() {
-            self.hosts[host_index].slow_by(&self.spec.hosts, now, 1.0 / planned.times);
+            self.hosts[host_index].multiply_slowdown(&self.spec.hosts, now, 1.0 / planned.times);
             self.schedule_finish(now, host);
         } else if fault.drain.is_some() && self.hosts[host_index].state == State::Up {
             self.stop_host(now, host, State::Down);
--- a/crates/simulation/src/fleet/lifecycle.rs
+++ b/crates/simulation/src/fleet/lifecycle.rs
@@ -7,11 +7,11 @@
 use crate::{GatewayId, HostId, Ns};
 
 /// Number of commits that a set keeps after every member has applied them, because running reads still refer to them.
-const KEPT_COMMITS: u64 = 10_000;
+const RETAINED_COMMITS: u64 = 10_000;
 
 impl Fleet {
-    /// Stops a running host: it hangs, vanishes, or its process dies, as `how` says.
-    pub(super) fn stop_host(&mut self, now: Ns, host: HostId, how: State) {
+    /// Stops a running host: it hangs, vanishes, or its process dies, as `new_state` says.
+    pub(super) fn stop_host(&mut self, now: Ns, host: HostId, new_state: State) {
         let index = host.0 as usize;
         if self.hosts[index].state != State::Up {
             return;
@@ -20,19 +20,19 @@
         if self.sets[set.0 as usize].primary == Some(host) {
             self.lose_primary(now, set);
         }
-        let from = self.sets[set.0 as usize].source(&self.day);
-        self.hosts[index].applier.stop(now, from, true);
-        self.hosts[index].state = how;
-        if how == State::Hung {
+        let source = self.sets[set.0 as usize].source(&self.day);
+        self.hosts[index].applier.stop(now, source, true);
+        self.hosts[index].state = new_state;
+        if new_state == State::Hung {
             self.hosts[index].cpu.freeze(now, true);
         } else {
             while self.hosts[index].held.blocking > 0 {
                 self.resume_applying(now, host);
             }
-            self.hosts[index].lose_all(now);
+            self.hosts[index].drop_all_work(now);
             self.jobs.active.retain(|_, j| j.host != host);
         }
-        if how == State::Down {
+        if new_state == State::Down {
             self.outputs.push(Output::ConnectionsReset { host });
         }
         self.schedule_finish(now, host);
@@ -54,9 +54,14 @@
                 host: Some(host),
             });
         }
-        let from = self.sets[set.0 as usize].source(&self.day);
-        self.hosts[index].applier.stop(now, from, false);
-        for query in self.jobs.at_hung_hosts.remove(&host).unwrap_or_default() {
+        let source = self.sets[set.0 as usize].source(&self.day);
+        self.hosts[index].applier.stop(now, source, false);
+        for query in self
+            .jobs
+            .queued_at_hung_hosts
+            .remove(&host)
+            .unwrap_or_default()
+        {
             self.handle_query(now, host, query);
         }
         self.schedule_finish(now, host);
@@ -66,7 +71,7 @@
     /// is not restarted.
     pub(super) fn restart_host(&mut self, now: Ns, host: HostId) {
         let index = host.0 as usize;
-        if self.hosts[index].condition.fallen || self.hosts[index].state == State::Up {
+        if self.hosts[index].condition.overloaded || self.hosts[index].state == State::Up {
             return;
         }
         let vanished = self.hosts[index].state == State::Vanished;
@@ -74,15 +79,15 @@
             &self.spec.hosts,
             now,
             self.day.hosts.cold_start,
-            self.day.hosts.cold_for,
+            self.day.hosts.warm_up,
         );
         let set = self.hosts[index].set;
         let replica_set = &mut self.sets[set.0 as usize];
         if replica_set.primary == Some(host) {
             replica_set.primary = None;
         }
-        let from = self.sets[set.0 as usize].source(&self.day);
-        self.hosts[index].applier.stop(now, from, false);
+        let source = self.sets[set.0 as usize].source(&self.day);
+        self.hosts[index].applier.stop(now, source, false);
         if vanished {
             self.outputs.push(Output::ConnectionsReset { host });
         }
@@ -98,8 +103,8 @@
             self.hosts[host.0 as usize].set,
             self.hosts[host.0 as usize].started,
         );
-        for telling in self.list.announce(now, host, set, listed, since, silent) {
-            self.schedule(telling.at, Event::Notify(telling));
+        for notification in self.list.announce(now, host, set, listed, since, silent) {
+            self.schedule(notification.at, Event::Notify(notification));
         }
     }
 
@@ -117,17 +122,21 @@
         let primary = self.primary(set) == Some(host);
         let member = &mut self.hosts[host.0 as usize];
         if member.state == State::Up {
-            member.refresh(&self.spec.hosts, now, position, primary);
+            member.refresh_report(&self.spec.hosts, now, position, primary);
         }
         // Commits that every member has applied are dropped, except for the last ones.
         let replica_set = &mut self.sets[set.0 as usize];
-        let least = replica_set
+        let min_applied = replica_set
             .members
             .iter()
             .map(|m| self.hosts[m.0 as usize].applier.applied())
             .min();
-        if let Some(least) = least.filter(|_| replica_set.members.first() == Some(&host)) {
-            replica_set.log.forget(least.saturating_sub(KEPT_COMMITS));
+        if let Some(min_applied) =
+            min_applied.filter(|_| replica_set.members.first() == Some(&host))
+        {
+            replica_set
+                .log
+                .forget(min_applied.saturating_sub(RETAINED_COMMITS));
         }
     }
 }
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -64,14 +64,14 @@
     /// For each host, the stamp of its last scheduled `Finish` event; one with an older stamp is ignored.
     finish_stamps: Vec<u64>,
     /// Queries that arrived at hosts that hang; they are handled when the host resumes.
-    at_hung_hosts: HashMap<HostId, Vec<Query>>,
+    queued_at_hung_hosts: HashMap<HostId, Vec<Query>>,
 }
 
 /// The faults of the day, and those in effect.
 struct FaultState {
     plan: Vec<PlannedFault>,
     /// For each fault in effect, by its index in the plan, the hosts that it affects.
-    struck_hosts: HashMap<usize, Vec<HostId>>,
+    affected_hosts: HashMap<usize, Vec<HostId>>,
     datagram_loss: f64,
 }
 
@@ -88,7 +88,7 @@
         let plan = faults::plan(spec, seed);
         let count = spec.set_count();
         let mut sets: Vec<ReplicaSet> = (0..count).map(|_| ReplicaSet::new(start)).collect();
-        let tip = crate::host::tip(spec.rules.tip_s);
+        let load_window = crate::host::load_window_length(spec.rules.tip_s);
         let mut hosts = Vec::new();
         for i in 0..spec.hosts.count {
             let (id, set) = (HostId(i), SetId(i / spec.sets.members % count));
@@ -96,8 +96,8 @@
             members.members.push(id);
             members.primary.get_or_insert(id);
             let applier = LogApplier::new(start, members.source(&day));
-            let mut host = Host::new(id, set, &spec.hosts, start, applier, tip);
-            host.retune(&spec.hosts, start);
+            let mut host = Host::new(id, set, &spec.hosts, start, applier, load_window);
+            host.update_capacity(&spec.hosts, start);
             hosts.push(host);
         }
         let known = hosts.iter().map(|member| (member.id, member.set));
@@ -107,7 +107,7 @@
                 active: FxHashMap::default(),
                 last_number: 0,
                 finish_stamps: vec![0; hosts.len()],
-                at_hung_hosts: HashMap::new(),
+                queued_at_hung_hosts: HashMap::new(),
             },
             day,
             start,
@@ -123,7 +123,7 @@
             outputs: Vec::new(),
             faults: FaultState {
                 plan,
-                struck_hosts: HashMap::new(),
+                affected_hosts: HashMap::new(),
                 datagram_loss: spec.net.datagram_loss,
             },
             spec: spec.clone(),
@@ -207,7 +207,7 @@
 
     /// Returns whether no fault cuts the host off from the gateway.
     pub fn reaches(&self, gateway: GatewayId, host: HostId) -> bool {
-        !self.faults.struck_hosts.iter().any(|(&i, hosts)| {
+        !self.faults.affected_hosts.iter().any(|(&i, hosts)| {
             let planned = &self.faults.plan[i];
             planned.fault.cut_off.is_some()
                 && planned.cut.contains(&gateway)
@@ -217,7 +217,7 @@
 
     /// Returns whether no network partition separates the two gateways.
     pub fn hears(&self, from: GatewayId, to: GatewayId) -> bool {
-        !self.faults.struck_hosts.keys().any(|&i| {
+        !self.faults.affected_hosts.keys().any(|&i| {
             let planned = &self.faults.plan[i];
             planned.fault.split.is_some()
                 && planned.cut.contains(&from) != planned.cut.contains(&to)
@@ -289,7 +289,9 @@
             Event::Elect { set, term } => self.elect_primary(now, set, term),
             Event::FaultBegins(i) => self.begin_fault(now, i),
             Event::FaultEnds(i) => self.end_fault(now, i),
-            Event::Notify(t) => self.deliver_notification(now, t.gateway, t.entry),
+            Event::Notify(notification) => {
+                self.deliver_notification(now, notification.gateway, notification.entry)
+            }
             Event::Restart { host, epoch } => {
                 if self.hosts[host.0 as usize].epoch == epoch {
                     self.restart_host(now, host);
--- a/crates/simulation/src/fleet/queries.rs
+++ b/crates/simulation/src/fleet/queries.rs
@@ -30,7 +30,7 @@
     Query {
         query: Query,
         /// Index of the write's entry among the remembered entries of its key.
-        key_at: usize,
+        key_index: usize,
         /// Commits that were applied when the query began, and those that it needed.
         data: DataVersion,
         /// Whether the query stops its host from applying the log.
@@ -68,7 +68,7 @@
         if self.hosts[host.0 as usize].state != State::Up {
             return Delivery::Reset;
         }
-        self.start_side_job(now, host, work, JobKind::Connect { ticket });
+        self.start_job_without_slot(now, host, work, JobKind::Connect { ticket });
         Delivery::Accepted
     }
 
@@ -77,7 +77,7 @@
         let member = &mut self.hosts[host.0 as usize];
         if member.epoch == epoch && member.held.connections > 0 {
             member.held.connections -= 1;
-            member.retune(&self.spec.hosts, now);
+            member.update_capacity(&self.spec.hosts, now);
             self.schedule_finish(now, host);
         }
     }
@@ -97,16 +97,16 @@
         if self.hosts[host.0 as usize].state != State::Up {
             return ProbeResult::Refused;
         }
-        self.start_side_job(now, host, work, JobKind::Probe);
+        self.start_job_without_slot(now, host, work, JobKind::Probe);
         ProbeResult::Report(self.hosts[host.0 as usize].report)
     }
 
     /// Sends a query to a host, on a connection of the given epoch.
     pub fn query(&mut self, now: Ns, host: HostId, epoch: u32, query: Query) -> Delivery {
-        if let Some(told) = self.list.drain_notice_time(query.gateway, host) {
+        if let Some(notified_at) = self.list.drain_notice_time(query.gateway, host) {
             let grace = ms(self.spec.rules.drain_grace_ms);
             self.invariants
-                .sent(query.sent, query.gateway, host, told, grace);
+                .record_sent(query.sent, query.gateway, host, notified_at, grace);
         }
         if !self.reaches(query.gateway, host) {
             return Delivery::NoResponse;
@@ -117,7 +117,11 @@
             State::Down => Delivery::Reset,
             _ if member.epoch != epoch => Delivery::Reset,
             State::Hung => {
-                self.jobs.at_hung_hosts.entry(host).or_default().push(query);
+                self.jobs
+                    .queued_at_hung_hosts
+                    .entry(host)
+                    .or_default()
+                    .push(query);
                 Delivery::NoResponse
             }
             State::Up => self.handle_query(now, host, query),
@@ -135,19 +139,19 @@
             return Delivery::Accepted;
         }
         let set = &mut self.sets[member.set.0 as usize];
-        let primary = set.primary == Some(host) && set.primary_since.is_some();
-        let write = self.spec.classes[query.class].need == Need::Write;
-        if write && !primary {
+        let is_primary = set.primary == Some(host) && set.primary_since.is_some();
+        let is_write = self.spec.classes[query.class].need == Need::Write;
+        if is_write && !is_primary {
             self.send_answer(now, host, &query, Answer::Miss, 0);
             return Delivery::Accepted;
         }
-        let mut key_at = 0;
-        if let Some(key) = query.key.filter(|_| write) {
-            key_at = set.remember_key(now, key, seconds(self.spec.sets.window_s));
+        let mut key_index = 0;
+        if let Some(key) = query.key.filter(|_| is_write) {
+            key_index = set.remember_key(now, key, seconds(self.spec.sets.window_s));
         }
         let kind = JobKind::Query {
             query,
-            key_at,
+            key_index,
             data: DataVersion::default(),
             blocks: false,
         };
@@ -155,11 +159,16 @@
         self.jobs
             .active
             .insert(self.jobs.last_number, Job { host, kind });
-        let wait = match self.spec.hosts.checks {
+        let max_wait = match self.spec.hosts.checks {
             Checks::Wait => ms(self.spec.hosts.wait_ms),
             Checks::Refuse | Checks::None => 0,
         };
-        self.admit_query(now, self.jobs.last_number, now + wait, Admission::Arrival);
+        self.admit_query(
+            now,
+            self.jobs.last_number,
+            now + max_wait,
+            Admission::Arrival,
+        );
         Delivery::Accepted
     }
 
@@ -196,7 +205,7 @@
             self.start_query(now, job);
         } else if member.held.waiting.len() < self.spec.hosts.room as usize {
             member.held.waiting.push_back(job);
-            member.retune(&self.spec.hosts, now);
+            member.update_capacity(&self.spec.hosts, now);
             self.schedule_finish(now, host);
         } else {
             self.jobs.active.remove(&job);
@@ -232,12 +241,12 @@
             return;
         };
         let (host, query) = (*host, query.clone());
-        let (had, needed) = self.applied_and_needed(now, host, &query);
+        let (applied, needed) = self.applied_and_needed(now, host, &query);
         let set = &self.sets[self.hosts[host.0 as usize].set.0 as usize];
         let needed = set.log.count_until(needed);
-        let primary = set.primary == Some(host);
-        let stops = self.spec.classes[query.class].blocks && !primary;
-        if stops {
+        let is_primary = set.primary == Some(host);
+        let stops_applying = self.spec.classes[query.class].blocks && !is_primary;
+        if stops_applying {
             self.hosts[host.0 as usize]
                 .applier
                 .stop(now, set.source(&self.day), true);
@@ -248,27 +257,30 @@
             ..
         }) = self.jobs.active.get_mut(&job)
         {
-            *data = DataVersion {
-                applied: had,
-                needed,
-            };
-            *blocks = stops;
+            *data = DataVersion { applied, needed };
+            *blocks = stops_applying;
         }
         let member = &mut self.hosts[host.0 as usize];
         member.held.running += 1;
-        member.retune(&self.spec.hosts, now);
+        member.update_capacity(&self.spec.hosts, now);
         member.cpu.add(now, query.work, job);
         self.schedule_finish(now, host);
     }
 
     /// Starts a job that occupies no slot: a connection or a probe.
-    pub(super) fn start_side_job(&mut self, now: Ns, host: HostId, work: Ns, kind: JobKind) {
+    pub(super) fn start_job_without_slot(
+        &mut self,
+        now: Ns,
+        host: HostId,
+        work: Ns,
+        kind: JobKind,
+    ) {
         self.jobs.last_number += 1;
         self.jobs
             .active
             .insert(self.jobs.last_number, Job { host, kind });
         let member = &mut self.hosts[host.0 as usize];
-        member.retune(&self.spec.hosts, now);
+        member.update_capacity(&self.spec.hosts, now);
         member.cpu.add(now, work, self.jobs.last_number);
         self.schedule_finish(now, host);
     }
@@ -276,10 +288,10 @@
     /// Records work that arrives at a host, accepted or rejected. A cold host that is offered too much dies.
     pub(super) fn record_offered_work(&mut self, now: Ns, host: HostId, work: Ns) {
         let member = &mut self.hosts[host.0 as usize];
-        let load = member.offered(&self.spec.hosts, now, work);
+        let load = member.record_offered_work(&self.spec.hosts, now, work);
         if member.cold(now) && load > self.spec.rules.tip_multiple {
-            member.condition.fallen = true;
-            self.invariants.knocked_over(now, host, load);
+            member.condition.overloaded = true;
+            self.invariants.record_overload(now, host, load);
             self.outputs.push(Output::HostOverloaded { host });
             self.stop_host(now, host, State::Down);
             self.announce(now, host, ListedState::Gone, false);
@@ -317,14 +329,14 @@
         };
         let index = host.0 as usize;
         match kind {
-            JobKind::Probe => self.hosts[index].retune(&self.spec.hosts, now),
+            JobKind::Probe => self.hosts[index].update_capacity(&self.spec.hosts, now),
             JobKind::Connect { ticket } => {
-                self.hosts[index].retune(&self.spec.hosts, now);
+                self.hosts[index].update_capacity(&self.spec.hosts, now);
                 self.outputs.push(Output::Connected { ticket, host });
             }
             JobKind::Query {
                 query,
-                key_at,
+                key_index,
                 data,
                 blocks,
             } => {
@@ -332,20 +344,20 @@
                     self.resume_applying(now, host);
                 }
                 self.hosts[index].held.running -= 1;
-                self.complete_query(now, host, &query, key_at, data);
+                self.complete_query(now, host, &query, key_index, data);
                 if let Some(next) = self.hosts[index].held.waiting.pop_front() {
                     self.start_query(now, next);
                 }
-                self.hosts[index].retune(&self.spec.hosts, now);
+                self.hosts[index].update_capacity(&self.spec.hosts, now);
             }
         }
     }
 
     pub(super) fn resume_applying(&mut self, now: Ns, host: HostId) {
         let member = &mut self.hosts[host.0 as usize];
-        let from = self.sets[member.set.0 as usize].source(&self.day);
+        let source = self.sets[member.set.0 as usize].source(&self.day);
         member.held.blocking -= 1;
-        member.applier.stop(now, from, false);
+        member.applier.stop(now, source, false);
     }
 
     pub(super) fn complete_query(
@@ -353,45 +365,46 @@
         now: Ns,
         host: HostId,
         query: &Query,
-        key_at: usize,
+        key_index: usize,
         data: DataVersion,
     ) {
         let member = &self.hosts[host.0 as usize];
         let set = &mut self.sets[member.set.0 as usize];
-        let spoilt =
+        let fails =
             member.condition.errors > 0.0 && self.random.rng.chance(member.condition.errors);
         if self.spec.classes[query.class].need != Need::Write {
-            if spoilt {
+            if fails {
                 return self.send_answer(now, host, query, Answer::Error, query.work);
             }
-            self.invariants.read(now, host, data.applied, data.needed);
+            self.invariants
+                .record_read(now, host, data.applied, data.needed);
             return self.send_answer(now, host, query, Answer::Row, query.work);
         }
         // A write that is still running when its host loses the role of primary ends in an error and has no effect.
         if set.primary != Some(host) || set.primary_since.is_none() {
             return self.send_answer(now, host, query, Answer::Error, query.work);
         }
-        let known = query
+        let remembered = query
             .key
             .and_then(|k| set.keys.get_mut(&k))
-            .and_then(|k| k.get_mut(key_at));
-        let commit = match known {
+            .and_then(|k| k.get_mut(key_index));
+        let commit = match remembered {
             Some(KeyedWrite {
                 commit: Some(commit),
                 ..
             }) => *commit,
-            known => {
+            remembered => {
                 set.log.push(now);
-                if let Some(k) = known {
+                if let Some(k) = remembered {
                     k.commit = Some(now);
                 }
                 if let Some(key) = query.key {
-                    self.invariants.applied(now, key);
+                    self.invariants.record_applied(now, key);
                 }
                 now
             }
         };
-        if spoilt {
+        if fails {
             return self.send_answer(now, host, query, Answer::Error, query.work);
         }
         let note = ReplicaStatus {
--- a/crates/simulation/src/fleet/replica_set.rs
+++ b/crates/simulation/src/fleet/replica_set.rs
@@ -76,13 +76,13 @@
             });
             self.key_order.push_back((now, key));
         }
-        let place = entries.len() - 1;
-        self.forget_old_keys(now, window * KEY_RETENTION_WINDOWS);
-        place
+        let index = entries.len() - 1;
+        self.remove_old_keys(now, window * KEY_RETENTION_WINDOWS);
+        index
     }
 
     /// Removes the keys whose last entry is older than `retention`.
-    fn forget_old_keys(&mut self, now: Ns, retention: Ns) {
+    fn remove_old_keys(&mut self, now: Ns, retention: Ns) {
         while let Some(&(arrived, key)) = self.key_order.front() {
             if arrived + retention >= now {
                 return;
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -83,9 +83,9 @@
     /// Fraction of the answers that are errors.
     pub errors: f64,
     /// Whether the process died of overload; it is not restarted then.
-    pub fallen: bool,
+    pub overloaded: bool,
     /// Product of the slowdown factors of all faults in effect.
-    slow: f64,
+    slowdown: f64,
 }
 
 /// Work that the cores and the applying thread had done at the last report.
@@ -97,18 +97,18 @@
     /// Time for which the applying thread was busy, in nanoseconds.
     applier_busy: f64,
     /// Mean number of cores that the applying thread used in the last report interval.
-    applying: f64,
+    applier_cores: f64,
 }
 
 impl Host {
-    /// Creates a running, warm host; `tip` is the length of its load window.
+    /// Creates a running, warm host; `load_window` is the length of its load window.
     pub fn new(
         id: HostId,
         set: SetId,
         spec: &HostSpec,
         now: Ns,
         applier: LogApplier,
-        tip: Ns,
+        load_window: Ns,
     ) -> Self {
         Host {
             id,
@@ -123,16 +123,16 @@
                 draining: false,
                 refusing: false,
                 errors: spec.errors,
-                fallen: false,
-                slow: 1.0,
+                overloaded: false,
+                slowdown: 1.0,
             },
             report: Report::default(),
-            window: LoadWindow::new(tip),
+            window: LoadWindow::new(load_window),
             usage: Usage {
                 reported_at: now,
                 cpu_used: 0.0,
                 applier_busy: 0.0,
-                applying: 0.0,
+                applier_cores: 0.0,
             },
         }
     }
@@ -148,8 +148,8 @@
     }
 
     /// Returns the current capacity in cores, regardless of the number of requests and connections.
-    pub fn can_do(&self, spec: &HostSpec, now: Ns) -> f64 {
-        spec.cores * self.cpu.ramp().at(now) / self.condition.slow
+    pub fn current_capacity(&self, spec: &HostSpec, now: Ns) -> f64 {
+        spec.cores * self.cpu.ramp().at(now) / self.condition.slowdown
     }
 
     /// Returns the highest loads of the window as multiples of the capacity at the time: overall, and while cold.
@@ -159,38 +159,39 @@
 
     /// Records work that arrives, accepted or rejected, and returns the load of the window that ends now, as a multiple
     /// of the capacity.
-    pub fn offered(&mut self, spec: &HostSpec, now: Ns, work: Ns) -> f64 {
-        let (can, cold) = (self.can_do(spec, now), self.cold(now));
-        self.window.add(now, work as f64, can, cold)
+    pub fn record_offered_work(&mut self, spec: &HostSpec, now: Ns, work: Ns) -> f64 {
+        let (capacity, cold) = (self.current_capacity(spec, now), self.cold(now));
+        self.window.add(now, work as f64, capacity, cold)
     }
 
-    /// Multiplies the slowdown by `times`: the factor of a fault when it begins, and its inverse when it ends.
-    pub fn slow_by(&mut self, spec: &HostSpec, now: Ns, times: f64) {
-        self.condition.slow = (self.condition.slow * times).max(0.01);
-        self.retune(spec, now);
+    /// Multiplies the slowdown by `factor`: the factor of a fault when it begins, and its inverse when it ends.
+    pub fn multiply_slowdown(&mut self, spec: &HostSpec, now: Ns, factor: f64) {
+        self.condition.slowdown = (self.condition.slowdown * factor).max(0.01);
+        self.update_capacity(spec, now);
     }
 
     /// Recomputes the capacity, which depends on the numbers of requests and connections, on the applier's use of the
     /// cores and on the slowdown. To be called after each change of these.
-    pub fn retune(&mut self, spec: &HostSpec, now: Ns) {
-        let crowd = (f64::from(self.held_requests()) / spec.cores - spec.crowded_from).max(0.0);
-        let crowded = (1.0 - spec.crowded_loss * crowd).max(0.25);
-        let table = 1.0
+    pub fn update_capacity(&mut self, spec: &HostSpec, now: Ns) {
+        let excess_per_core =
+            (f64::from(self.held_requests()) / spec.cores - spec.crowded_from).max(0.0);
+        let crowding_factor = (1.0 - spec.crowded_loss * excess_per_core).max(0.25);
+        let connection_factor = 1.0
             - spec.table_loss
                 * (f64::from(self.held.connections) / f64::from(spec.connections)).min(1.0);
         self.cpu.set_capacity(
             now,
-            spec.cores - self.usage.applying,
-            crowded * table / self.condition.slow,
+            spec.cores - self.usage.applier_cores,
+            crowding_factor * connection_factor / self.condition.slowdown,
         );
     }
 
     /// Refreshes the load report from the usage since the last one.
-    pub fn refresh(&mut self, spec: &HostSpec, now: Ns, position: Ns, primary: bool) {
-        let last = self.usage;
-        let time = (now - last.reported_at).max(1) as f64;
-        let util = ((self.cpu.used() - last.cpu_used) / time / spec.cores).clamp(0.0, 1.0);
-        self.usage.applying = ((self.applier.busy() - last.applier_busy) / time)
+    pub fn refresh_report(&mut self, spec: &HostSpec, now: Ns, position: Ns, primary: bool) {
+        let previous = self.usage;
+        let elapsed = (now - previous.reported_at).max(1) as f64;
+        let util = ((self.cpu.used() - previous.cpu_used) / elapsed / spec.cores).clamp(0.0, 1.0);
+        self.usage.applier_cores = ((self.applier.busy() - previous.applier_busy) / elapsed)
             .clamp(0.0, 1.0)
             .min(spec.cores * 0.9);
         self.usage.reported_at = now;
@@ -199,13 +200,13 @@
         self.report = Report {
             position,
             primary,
-            util: (util + self.usage.applying / spec.cores).min(1.0),
+            util: (util + self.usage.applier_cores / spec.cores).min(1.0),
         };
-        self.retune(spec, now);
+        self.update_capacity(spec, now);
     }
 
     /// Drops all connections and requests.
-    pub fn lose_all(&mut self, now: Ns) {
+    pub fn drop_all_work(&mut self, now: Ns) {
         self.cpu.clear(now);
         self.held.waiting.clear();
         self.held.running = 0;
@@ -213,9 +214,9 @@
         self.held.connections = 0;
     }
 
-    /// Starts the process cold: with the fraction `part` of its capacity, which rises to all of it over `warm_in`.
-    pub fn start(&mut self, spec: &HostSpec, now: Ns, part: f64, warm_in: Ns) {
-        self.lose_all(now);
+    /// Starts the process cold: with the fraction `start_share` of its capacity, which rises to all of it over `warm_up`.
+    pub fn start(&mut self, spec: &HostSpec, now: Ns, start_share: f64, warm_up: Ns) {
+        self.drop_all_work(now);
         self.state = State::Up;
         self.epoch += 1;
         self.started = now;
@@ -226,17 +227,17 @@
             now,
             Ramp {
                 start: now,
-                from: part,
-                length: warm_in,
+                from: start_share,
+                length: warm_up,
             },
         );
         // Work from before the start was offered to the previous process.
         self.window.clear();
-        self.retune(spec, now);
+        self.update_capacity(spec, now);
     }
 }
 
 /// Converts the length of the load window from seconds, with a minimum of 1 ns.
-pub fn tip(seconds_long: f64) -> Ns {
-    seconds(seconds_long).max(1)
+pub fn load_window_length(length_s: f64) -> Ns {
+    seconds(length_s).max(1)
 }
--- a/crates/simulation/src/invariants.rs
+++ b/crates/simulation/src/invariants.rs
@@ -42,7 +42,7 @@
 
 impl InvariantAudit {
     /// Records that a keyed write was applied.
-    pub fn applied(&mut self, at: Ns, key: u64) {
+    pub fn record_applied(&mut self, at: Ns, key: u64) {
         let times = self.applied.entry(key).or_insert(0);
         *times += 1;
         let times = *times;
@@ -64,22 +64,29 @@
         self.applied.len() as u64
     }
 
-    /// Records that a host answered a read. `had` is the number of commits that it had applied, `needed` the number
+    /// Records that a host answered a read. `applied` is the number of commits that it had applied, `needed` the number
     /// that the read needed.
-    pub fn read(&mut self, at: Ns, host: HostId, had: u64, needed: u64) {
-        if had < needed {
+    pub fn record_read(&mut self, at: Ns, host: HostId, applied: u64, needed: u64) {
+        if applied < needed {
             self.record(at, ViolationKind::StaleRead, || {
-                format!("host {} had applied {had} of {needed} commits", host.0)
+                format!("host {} had applied {applied} of {needed} commits", host.0)
             });
         }
     }
 
-    /// Records that a gateway sent a query at `at` to a host of whose drain or end it was notified at `told`. It is a
-    /// violation if more than `grace` lies between the two.
-    pub fn sent(&mut self, at: Ns, gateway: GatewayId, host: HostId, told: Ns, grace: Ns) {
-        if at > told + grace {
+    /// Records that a gateway sent a query at `at` to a host of whose drain or end it was notified at `notified_at`. It
+    /// is a violation if more than `grace` lies between the two.
+    pub fn record_sent(
+        &mut self,
+        at: Ns,
+        gateway: GatewayId,
+        host: HostId,
+        notified_at: Ns,
+        grace: Ns,
+    ) {
+        if at > notified_at + grace {
             self.record(at, ViolationKind::SentToDrained, || {
-                let late = (at - told) as f64 / 1e6;
+                let late = (at - notified_at) as f64 / 1e6;
                 format!(
                     "gateway {} sent to host {} {late:.1} ms after the notification of its drain or end",
                     gateway.0, host.0
@@ -89,7 +96,7 @@
     }
 
     /// Records that a cold host died of overload.
-    pub fn knocked_over(&mut self, at: Ns, host: HostId, load: f64) {
+    pub fn record_overload(&mut self, at: Ns, host: HostId, load: f64) {
         self.record(at, ViolationKind::KnockedOver, || {
             format!("host {} was offered {load:.2} times its capacity", host.0)
         });
--- a/crates/simulation/src/spec/day.rs
+++ b/crates/simulation/src/spec/day.rs
@@ -48,7 +48,7 @@
     /// Fraction of its capacity with which a host starts.
     pub cold_start: f64,
     /// Time from the start of a host until it has its full capacity.
-    pub cold_for: Ns,
+    pub warm_up: Ns,
     /// Interval at which a host refreshes its load report.
     pub report_every: Ns,
 }
@@ -99,22 +99,22 @@
             .iter()
             .map(|c| ms(c.work_ms.draw(&mut rng)) as f64)
             .collect();
-        let full = full_load_rate(spec, &class_shares, &work);
+        let full_rate = full_load_rate(spec, &class_shares, &work);
         let load = spec.traffic.load.draw(&mut rng);
-        let rate = spec.traffic.requests_per_s.unwrap_or(load * full);
-        let writes: f64 = (spec.classes.iter().zip(&class_shares))
+        let rate = spec.traffic.requests_per_s.unwrap_or(load * full_rate);
+        let write_share: f64 = (spec.classes.iter().zip(&class_shares))
             .filter(|(c, _)| c.need == Need::Write)
             .map(|(_, share)| share)
             .sum();
-        let full_writes = full * writes / f64::from(spec.set_count());
+        let full_write_rate = full_rate * write_share / f64::from(spec.set_count());
         let apply_use = spec.sets.apply_use.draw(&mut rng);
         let sizes: Vec<f64> = (0..spec.set_count())
             .map(|_| rng.log_normal(1.0, spec.sets.skew))
             .collect();
-        let sum: f64 = sizes.iter().sum();
-        let set_shares = sizes.iter().map(|size| size / sum).collect();
-        let apply = if full_writes > 0.0 {
-            seconds(apply_use / full_writes)
+        let total_size: f64 = sizes.iter().sum();
+        let set_shares = sizes.iter().map(|size| size / total_size).collect();
+        let apply = if full_write_rate > 0.0 {
+            seconds(apply_use / full_write_rate)
         } else {
             0
         };
@@ -130,7 +130,7 @@
         let client_way = time(spec.net.client_ms);
         let datagram_way = time(spec.net.datagram_ms);
         let cold_start = spec.hosts.cold_start.draw(&mut rng);
-        let cold_for = seconds(spec.hosts.cold_s.draw(&mut rng));
+        let warm_up = seconds(spec.hosts.cold_s.draw(&mut rng));
         let follows = spec.traffic.follows.draw(&mut rng);
         let roams = spec.traffic.roams.draw(&mut rng);
         let patience = spec.clients.patience.draw(&mut rng);
@@ -151,7 +151,7 @@
                 connect_work,
                 probe_work,
                 cold_start,
-                cold_for,
+                warm_up,
                 report_every,
             },
             replication: ReplicationTimes { ship, apply },
--- a/crates/simulation/src/spec/mod.rs
+++ b/crates/simulation/src/spec/mod.rs
@@ -19,7 +19,7 @@
 };
 pub use hosts::{Checks, HostSpec, SetSpec};
 pub use network::{ListSpec, NetSpec, RuleSpec};
-pub use traffic::{brief_classes, ClassSpec, ClientSpec, Need, TrafficSpec, WriteRepeats};
+pub use traffic::{default_classes, ClassSpec, ClientSpec, Need, TrafficSpec, WriteRepeats};
 pub use validation::SpecProblem;
 pub use value::ValueOrRange;
 
@@ -69,7 +69,7 @@
             warm_up_s: 2.0,
             hosts: HostSpec::default(),
             sets: SetSpec::default(),
-            classes: brief_classes(),
+            classes: default_classes(),
             traffic: TrafficSpec::default(),
             clients: ClientSpec::default(),
             list: ListSpec::default(),
--- a/crates/simulation/src/spec/traffic.rs
+++ b/crates/simulation/src/spec/traffic.rs
@@ -65,7 +65,7 @@
 }
 
 /// Returns the default classes, which are those of the deployment.
-pub fn brief_classes() -> Vec<ClassSpec> {
+pub fn default_classes() -> Vec<ClassSpec> {
     let class = |name: &str, share, work: [f64; 2], need, aim_ms, deadline_ms, worth| ClassSpec {
         name: name.to_string(),
         share,
--- a/crates/simulation/src/spec/validation.rs
+++ b/crates/simulation/src/spec/validation.rs
@@ -31,7 +31,7 @@
 
     /// Checks that the lower end of a range is not above the upper end, and that both lie within `least` to `most`.
     fn check_range(&mut self, path: &str, range: ValueOrRange, least: f64, most: f64) {
-        let [low, high] = range.ends();
+        let [low, high] = range.bounds();
         if !(low.is_finite() && high.is_finite()) || low < least || high > most {
             self.add(
                 path,
--- a/crates/simulation/src/spec/value.rs
+++ b/crates/simulation/src/spec/value.rs
@@ -31,10 +31,10 @@
     }
 
     /// Returns the lower and upper end; both are the value if it is fixed.
-    pub fn ends(self) -> [f64; 2] {
+    pub fn bounds(self) -> [f64; 2] {
         match self {
             ValueOrRange::Value(v) => [v, v],
-            ValueOrRange::Range(ends) => ends,
+            ValueOrRange::Range(bounds) => bounds,
         }
     }
 }
--- a/crates/simulation/tests/clients.rs
+++ b/crates/simulation/tests/clients.rs
@@ -24,10 +24,10 @@
     let rate = all.len() as f64 / 200.0;
     assert!((rate / 400.0 - 1.0).abs() < 0.03, "{rate}");
     for (i, c) in spec.classes.iter().enumerate() {
-        let of = all.iter().filter(|a| a.class == i).count() as f64 / all.len() as f64;
+        let share = all.iter().filter(|a| a.class == i).count() as f64 / all.len() as f64;
         assert!(
-            (of / (c.share / 0.993) - 1.0).abs() < 0.12,
-            "{}: {of}",
+            (share / (c.share / 0.993) - 1.0).abs() < 0.12,
+            "{}: {share}",
             c.name
         );
     }
@@ -61,10 +61,10 @@
     assert!((count(&flooded, other, true) / count(&calm, other, true) - 1.0).abs() < 0.1);
 }
 
-fn fault_between(at: f64, long: f64) -> Fault {
+fn fault_between(at: f64, duration: f64) -> Fault {
     Fault {
         at_s: ValueOrRange::Value(at),
-        for_s: ValueOrRange::Value(long),
+        for_s: ValueOrRange::Value(duration),
         ..Fault::default()
     }
 }
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn front_avoids_a_dead_gateway_once_it_has_noticed() {
+fn front_avoids_a_dead_gateway_after_the_detection_delay() {
     let mut c = Clients::new(&spec(), 5, 0);
     let t = write(&mut c, 1);
     c.set_gateway_state(SECOND, t.gateway, false);
@@ -158,7 +158,7 @@
 /// A read that roams may reach another gateway than the write of its session. It carries no commit as long as the write
 /// has not been answered, and carries the write's commit to every gateway afterwards.
 #[test]
-fn roaming_read_at_any_gateway_carries_what_its_session_knows() {
+fn roaming_read_at_any_gateway_carries_the_last_commit_of_its_session() {
     let mut c = Clients::new(
         &Spec {
             gateways: 8,
@@ -195,14 +195,14 @@
     assert!(
         later.iter().any(|r| r.gateway != t.gateway) && later.iter().all(|r| r.mark == SECOND + MS)
     );
-    let stays = c.first_try(
+    let bound_read = c.first_try(
         2 * SECOND,
         Arrival {
             roams: false,
             ..read(80)
         },
     );
-    assert_ne!(stays.mark, 0);
+    assert_ne!(bound_read.mark, 0);
 }
 
 #[test]
--- a/crates/simulation/tests/cpu.rs
+++ b/crates/simulation/tests/cpu.rs
@@ -4,7 +4,7 @@
 use irisrouter_simulation::rng::{Rng, Stream};
 use irisrouter_simulation::{Ns, MS, SECOND};
 
-fn run(cpu: &mut Cpu) -> Vec<(Ns, u64)> {
+fn run_to_completion(cpu: &mut Cpu) -> Vec<(Ns, u64)> {
     let mut ends = Vec::new();
     while let Some(t) = cpu.next_finish() {
         while let Some(job) = cpu.pop_finished(t) {
@@ -15,13 +15,13 @@
 }
 
 #[test]
-fn jobs_in_work_share_the_cores_evenly() {
+fn running_jobs_share_the_cores_evenly() {
     let mut cpu = Cpu::new(2.0, 0);
     (0..4).for_each(|job| cpu.add(0, 10 * MS, job));
     cpu.add(0, 5 * MS, 9);
     // Five jobs on two cores: the short one finishes after 12.5 ms; then four share, with 5 ms of work left each.
     assert_eq!(
-        run(&mut cpu),
+        run_to_completion(&mut cpu),
         [
             (12_500_000, 9),
             (22_500_000, 0),
@@ -46,14 +46,14 @@
         let mut cpu = Cpu::new(1.0, SECOND);
         cpu.start_ramp(SECOND, ramp);
         cpu.add(SECOND, (work * 1e9) as Ns, 1);
-        let (t, _) = run(&mut cpu)[0];
+        let (t, _) = run_to_completion(&mut cpu)[0];
         assert!((t - SECOND - (ends * 1e9) as Ns).abs() <= 2, "{work}: {t}");
     }
     // One job on two cores: it has a full core once the capacity reaches one half, after 4/3 s.
     let mut cpu = Cpu::new(2.0, SECOND);
     cpu.start_ramp(SECOND, ramp);
     cpu.add(SECOND, 3 * SECOND, 1);
-    let (t, _) = run(&mut cpu)[0];
+    let (t, _) = run_to_completion(&mut cpu)[0];
     assert!((t - SECOND - (10 * SECOND / 3)).abs() <= 2, "{t}");
 }
 
@@ -82,40 +82,40 @@
 /// Compares the mean time in the system with the closed form of an M/M/c queue (Erlang C), and checks Little's law. The
 /// formula for a queue applies because processor sharing has the same distribution of the number of jobs.
 #[test]
-fn queue_under_load_has_the_mean_time_of_theory() {
+fn queue_under_load_has_the_mean_time_of_the_mmc_formula() {
     let (cores, mean, load) = (3.0, 40.0 * MS as f64, 0.8);
     let rate = load * cores / mean;
     let mut rng = Rng::new(3, Stream::Arrivals);
     let mut cpu = Cpu::new(cores, 0);
-    let (mut now, mut came, mut total, mut area, mut n) =
+    let (mut now, mut arrived_at, mut total, mut job_time, mut n) =
         (0, std::collections::HashMap::new(), 0.0, 0.0, 0u64);
     let count = 200_000;
     let mut next = 0;
     while n < count {
         let end = cpu.next_finish().unwrap_or(Ns::MAX);
         let t = next.min(end);
-        area += cpu.busy() as f64 * (t - now) as f64;
+        job_time += cpu.busy() as f64 * (t - now) as f64;
         now = t;
         while let Some(job) = cpu.pop_finished(now) {
-            total += (now - came.remove(&job).unwrap_or(now)) as f64;
+            total += (now - arrived_at.remove(&job).unwrap_or(now)) as f64;
             n += 1;
         }
         if now == next {
-            came.insert(now as u64, now);
+            arrived_at.insert(now as u64, now);
             cpu.add(now, rng.exponential(mean as Ns), now as u64);
             next = now + rng.exponential((1.0 / rate) as Ns).max(1);
         }
     }
     let a: f64 = load * cores;
     let (p, c) = (1.0 + a + a * a / 2.0, a.powi(3) / 6.0 / (1.0 - load));
-    let waits = c / (p + c);
-    let expected = mean * (1.0 + waits / (cores * (1.0 - load)));
+    let wait_probability = c / (p + c);
+    let expected = mean * (1.0 + wait_probability / (cores * (1.0 - load)));
     let measured = total / n as f64;
     assert!(
         (measured / expected - 1.0).abs() < 0.03,
         "{measured} against {expected}"
     );
-    let little = area / now as f64 / (n as f64 / now as f64);
+    let little = job_time / now as f64 / (n as f64 / now as f64);
     assert!(
         (little / measured - 1.0).abs() < 0.001,
         "{little} {measured}"
--- a/crates/simulation/tests/endpoint_list.rs
+++ b/crates/simulation/tests/endpoint_list.rs
@@ -5,7 +5,7 @@
 use irisrouter_simulation::{seconds, GatewayId, HostId, SetId, SECOND};
 
 #[test]
-fn notice_that_is_older_or_comes_in_silence_does_not_change_the_view() {
+fn notification_that_is_older_or_withheld_does_not_change_the_view() {
     let spec = ListSpec::default();
     let mut l = EndpointList::new(&spec, 1, 2, [(HostId(0), SetId(0))].into_iter());
     let first = l.announce(0, HostId(0), SetId(0), ListedState::Draining, 0, false);
@@ -42,8 +42,8 @@
         (l.drain_notice_time(g, HostId(0)), l.view(g).version),
         (None, 2)
     );
-    let kept = l.set_silent(false);
-    assert_eq!(kept.len(), 1);
-    assert!(l.deliver(20 * SECOND, kept[0].0, kept[0].1));
+    let withheld = l.set_silent(false);
+    assert_eq!(withheld.len(), 1);
+    assert!(l.deliver(20 * SECOND, withheld[0].0, withheld[0].1));
     assert_eq!(l.drain_notice_time(g, HostId(0)), Some(20 * SECOND));
 }
--- a/crates/simulation/tests/faults.rs
+++ b/crates/simulation/tests/faults.rs
@@ -1,6 +1,6 @@
 //! The faults of a day: waves of gateway restarts, independence of the draws, and the choice of hosts.
 
-use irisrouter_simulation::faults::{pick, plan};
+use irisrouter_simulation::faults::{choose_hosts, plan};
 use irisrouter_simulation::rng::{Rng, Stream};
 use irisrouter_simulation::spec::{
     Fault, GatewayRestarts, HostSelection, Spec, TrafficSurge, ValueOrRange,
@@ -76,7 +76,7 @@
     let mut rng = Rng::new(1, Stream::Faults);
     let primary = |h: HostId| h.0.is_multiple_of(6);
     assert_eq!(
-        pick(&want, &hosts, primary, &mut rng),
+        choose_hosts(&want, &hosts, primary, &mut rng),
         [HostId(0), HostId(6)]
     );
     let all = HostSelection {
@@ -84,10 +84,10 @@
         primaries: Some(1.0),
         ..HostSelection::default()
     };
-    assert_eq!(pick(&all, &hosts, primary, &mut rng), hosts);
+    assert_eq!(choose_hosts(&all, &hosts, primary, &mut rng), hosts);
     let part = HostSelection {
         share: Some(0.18),
         ..HostSelection::default()
     };
-    assert_eq!(pick(&part, &hosts, primary, &mut rng).len(), 2);
+    assert_eq!(choose_hosts(&part, &hosts, primary, &mut rng).len(), 2);
 }
--- a/crates/simulation/tests/host.rs
+++ b/crates/simulation/tests/host.rs
@@ -29,7 +29,7 @@
 fn host_capacity_falls_when_crowded_slowed_or_cold() {
     let spec = HostSpec::default();
     let log = ReplicationLog::default();
-    let from = Source {
+    let source = Source {
         log: &log,
         primary_signal: PrimarySignal {
             since: Some(0),
@@ -43,20 +43,25 @@
         SetId(0),
         &spec,
         0,
-        LogApplier::new(0, from),
+        LogApplier::new(0, source),
         3 * SECOND,
     );
-    h.retune(&spec, 0);
+    h.update_capacity(&spec, 0);
     assert_eq!(h.cpu.capacity(0), 5.0);
     h.held.running = 30;
-    h.retune(&spec, 0);
+    h.update_capacity(&spec, 0);
     assert!((h.cpu.capacity(0) - 5.0 * (1.0 - 0.03 * 2.0)).abs() < 1e-9);
     h.held.running = 0;
-    h.slow_by(&spec, 0, 2.0);
-    assert_eq!((h.cpu.capacity(0), h.can_do(&spec, 0)), (2.5, 2.5));
-    h.slow_by(&spec, 0, 0.5);
+    h.multiply_slowdown(&spec, 0, 2.0);
+    assert_eq!(
+        (h.cpu.capacity(0), h.current_capacity(&spec, 0)),
+        (2.5, 2.5)
+    );
+    h.multiply_slowdown(&spec, 0, 0.5);
     h.start(&spec, SECOND, 0.2, 10 * SECOND);
     assert!(
-        (h.can_do(&spec, SECOND) - 1.0).abs() < 1e-9 && h.cold(10 * SECOND) && !h.cold(11 * SECOND)
+        (h.current_capacity(&spec, SECOND) - 1.0).abs() < 1e-9
+            && h.cold(10 * SECOND)
+            && !h.cold(11 * SECOND)
     );
 }
--- a/crates/simulation/tests/rng.rs
+++ b/crates/simulation/tests/rng.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn choice_of_places_contains_each_place_once() {
+fn chosen_indices_are_distinct_and_ascending() {
     let mut rng = Rng::new(1, Stream::Faults);
     for _ in 0..100 {
         let c = rng.choose(5, 9);
