--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,7 @@
 //! A model of the environment of the gateways: database hosts, replica sets, clients, the endpoint list, and faults.
-//! The model does no I/O and reads no clock: the caller passes in the current time, and all random numbers come from
-//! seeded generators. The testbed runs it in virtual time around the decision module, and in real time behind sockets.
+//! The model does no I/O and reads no clock: the caller passes in the current time, and all random numbers are drawn
+//! from seeded generators. The testbed runs it in virtual time around the decision module, and in real time behind
+//! sockets.
 //!
 //! The model holds the true state of hosts and data, and audits the invariants that the gateways must keep. It knows
 //! the gateways only by their IDs.
--- a/crates/simulation/src/spec/day.rs
+++ b/crates/simulation/src/spec/day.rs
@@ -78,11 +78,11 @@
 /// One-way delays of the network on a day.
 #[derive(Clone, Debug)]
 pub struct NetworkTimes {
-    /// Between gateway and host.
+    /// Delay between gateway and host.
     pub host_way: Ns,
-    /// Between client and gateway.
+    /// Delay between client and gateway.
     pub client_way: Ns,
-    /// Between gateways.
+    /// Delay of datagrams between gateways.
     pub datagram_way: Ns,
     /// Maximum random increase of a delay, as a fraction of it.
     pub jitter: f64,
--- a/crates/simulation/src/spec/traffic.rs
+++ b/crates/simulation/src/spec/traffic.rs
@@ -4,7 +4,7 @@
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Freshness of the data that a class of requests needs, or that it writes.
+/// Requirement of a class of requests: how fresh the data of a read must be, or that the request is a write.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, JsonSchema, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Need {
@@ -48,7 +48,7 @@
     /// Response time that the class aims for.
     #[schemars(range(min = 1, max = 3_600_000))]
     pub aim_ms: f64,
-    /// Time after which a request of the class is given up.
+    /// Deadline of a request of the class.
     #[schemars(range(min = 1, max = 3_600_000))]
     pub deadline_ms: f64,
     /// Value of an answer within `aim_ms`.
