--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -28,9 +28,9 @@
     pub key: Option<u64>,
     /// Random number that determines the gateway of a request that is not bound to its session's gateway, and whether
     /// the client disconnects early.
-    pub pick: u64,
+    pub random_number: u64,
     /// Whether the request may go to any gateway instead of its session's gateway.
-    pub roams: bool,
+    pub may_roam: bool,
 }
 
 /// Rates of the independent arrivals, that is, those that do not follow a write, per second.
@@ -86,7 +86,7 @@
         };
         let (read_share, write_share) = (share_of(Need::Session), share_of(Need::Write));
         let follower_share = if write_share > 0.0 {
-            read_share * day.demand.follows
+            read_share * day.demand.follower_share
         } else {
             0.0
         };
@@ -197,7 +197,10 @@
             .log_normal(self.day.demand.work[class], self.variations[class]);
         let need = self.needs[class];
         let has_session = matches!(need, Need::Session | Need::Write);
-        let (pick, roams) = (self.rng.number(), self.rng.chance(self.day.demand.roams));
+        let (random_number, may_roam) = (
+            self.rng.number(),
+            self.rng.chance(self.day.demand.roaming_share),
+        );
         Arrival {
             at,
             call: self.last_request,
@@ -207,8 +210,8 @@
             session: has_session.then_some(session),
             // The key is never 0, and all tries of the request carry the same key.
             key: (need == Need::Write).then_some(self.last_request << 8 | 1),
-            pick,
-            roams,
+            random_number,
+            may_roam,
         }
     }
 }
@@ -244,7 +247,7 @@
                 .map(|(n, share)| if *n == Need::Session { *share } else { 0.0 })
                 .collect();
             for _ in 0..self.rng.poisson(self.rates.followers_per_write) {
-                let at = arrival.at + self.rng.exponential(self.day.demand.gap).max(1);
+                let at = arrival.at + self.rng.exponential(self.day.demand.follower_gap).max(1);
                 let class = weighted_index(&read_shares, self.rng.unit());
                 let session = arrival.session.unwrap_or(0);
                 let follower = self.new_arrival(at, arrival.set, class, session);
@@ -415,10 +418,10 @@
     /// no session or that roams. The front keeps sending to a dead gateway until it detects the failure.
     fn choose_gateway(&self, now: Ns, arrival: &Arrival, number: u32) -> GatewayId {
         let count = u64::from(self.front.gateways.max(1));
-        let bound_session = arrival.session.filter(|_| !arrival.roams);
+        let bound_session = arrival.session.filter(|_| !arrival.may_roam);
         let random = match bound_session {
             Some(session) => hash(session),
-            None => hash(arrival.pick ^ u64::from(number)),
+            None => hash(arrival.random_number ^ u64::from(number)),
         };
         let known_dead = |g: GatewayId| {
             self.front
@@ -475,7 +478,8 @@
             .copied();
         // Whether a client leaves early is derived from the request's own random number, so that it does not depend
         // on the draws for other requests.
-        let draw = hash(arrival.pick ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
+        let draw =
+            hash(arrival.random_number ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
         let leaves = (draw < self.retry.spec.impatient).then_some(now + patience / 2);
         if let Some(call) = self.open.get_mut(&id) {
             call.in_flight = true;
--- a/crates/simulation/src/datagrams.rs
+++ b/crates/simulation/src/datagrams.rs
@@ -6,7 +6,7 @@
 use crate::{GatewayId, Ns};
 
 /// Maximum length of a datagram in bytes; the platform does not allow longer ones.
-pub const LONGEST: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// The network between gateways, with counters of its traffic.
 #[derive(Clone, Debug)]
@@ -18,7 +18,7 @@
     pub bytes: u64,
     /// Number of datagrams that did not arrive.
     pub lost: u64,
-    /// Number of datagrams longer than [`LONGEST`], which do not arrive.
+    /// Number of datagrams longer than [`MAX_DATAGRAM_BYTES`], which do not arrive.
     pub too_long: u64,
 }
 
@@ -45,11 +45,14 @@
     ) -> Option<Ns> {
         self.sent += 1;
         self.bytes += length as u64;
-        self.too_long += u64::from(length > LONGEST);
+        self.too_long += u64::from(length > MAX_DATAGRAM_BYTES);
         let day = fleet.day();
         // Both are drawn for each datagram, so that the loss of one does not change the delays of later ones.
         let (chance, longer) = (self.rng.unit(), self.rng.unit());
-        if length > LONGEST || chance < fleet.datagram_loss() || !fleet.hears(from, to) {
+        if length > MAX_DATAGRAM_BYTES
+            || chance < fleet.datagram_loss()
+            || !fleet.gateway_reaches(from, to)
+        {
             self.lost += 1;
             return None;
         }
--- a/crates/simulation/src/fleet/mod.rs
+++ b/crates/simulation/src/fleet/mod.rs
@@ -216,7 +216,7 @@
     }
 
     /// Returns whether no network partition separates the two gateways.
-    pub fn hears(&self, from: GatewayId, to: GatewayId) -> bool {
+    pub fn gateway_reaches(&self, from: GatewayId, to: GatewayId) -> bool {
         !self.faults.affected_hosts.keys().any(|&i| {
             let planned = &self.faults.plan[i];
             planned.fault.split.is_some()
--- a/crates/simulation/src/spec/day.rs
+++ b/crates/simulation/src/spec/day.rs
@@ -31,11 +31,11 @@
     /// Share of each class in the rate, to a sum of 1.
     pub class_shares: Vec<f64>,
     /// Fraction of the session reads that follow a write of their session.
-    pub follows: f64,
+    pub follower_share: f64,
     /// Mean time from a write to a read that follows it.
-    pub gap: Ns,
+    pub follower_gap: Ns,
     /// Fraction of a session's requests that go to any gateway instead of the session's gateway.
-    pub roams: f64,
+    pub roaming_share: f64,
 }
 
 /// Cost of connections and probes, cold start, and report interval of hosts on a day.
@@ -124,15 +124,15 @@
         let probe_work = time(spec.hosts.probe_work_ms);
         let report_every = time(spec.hosts.report_ms).max(1);
         let ship = time(spec.sets.ship_ms);
-        let gap = time(spec.traffic.gap_ms);
+        let follower_gap = time(spec.traffic.gap_ms);
         let backoff = time(spec.clients.backoff_ms);
         let host_way = time(spec.net.host_ms);
         let client_way = time(spec.net.client_ms);
         let datagram_way = time(spec.net.datagram_ms);
         let cold_start = spec.hosts.cold_start.draw(&mut rng);
         let warm_up = seconds(spec.hosts.cold_s.draw(&mut rng));
-        let follows = spec.traffic.follows.draw(&mut rng);
-        let roams = spec.traffic.roams.draw(&mut rng);
+        let follower_share = spec.traffic.follows.draw(&mut rng);
+        let roaming_share = spec.traffic.roams.draw(&mut rng);
         let patience = spec.clients.patience.draw(&mut rng);
         let honour = spec.clients.honour.draw(&mut rng);
         let front_notice = seconds(spec.clients.notice_s.draw(&mut rng));
@@ -143,9 +143,9 @@
                 set_shares,
                 work,
                 class_shares,
-                follows,
-                gap,
-                roams,
+                follower_share,
+                follower_gap,
+                roaming_share,
             },
             hosts: HostTimes {
                 connect_work,
--- a/crates/simulation/tests/clients.rs
+++ b/crates/simulation/tests/clients.rs
@@ -40,25 +40,25 @@
 
 #[test]
 fn traffic_surge_raises_its_sets_and_leaves_the_others() {
-    let mut flooded = spec();
-    flooded.faults = vec![Fault {
+    let mut surging = spec();
+    surging.faults = vec![Fault {
         flood: Some(TrafficSurge {
             sets: 1,
             part: ValueOrRange::Value(0.5),
         }),
         ..fault_between(50.0, 100.0)
     }];
-    let set = faults::plan(&flooded, 5)[0].sets[0];
+    let set = faults::plan(&surging, 5)[0].sets[0];
     let count = |s: &Spec, set: SetId, within: bool| {
         let inside = |a: &Arrival| (50 * SECOND..150 * SECOND).contains(&a.at) == within;
         Arrivals::new(s, 5)
             .filter(|a| a.set == set && inside(a))
             .count() as f64
     };
-    let calm = spec();
-    assert!((count(&flooded, set, true) / count(&calm, set, true) - 2.0).abs() < 0.25);
+    let baseline = spec();
+    assert!((count(&surging, set, true) / count(&baseline, set, true) - 2.0).abs() < 0.25);
     let other = SetId(1 - set.0);
-    assert!((count(&flooded, other, true) / count(&calm, other, true) - 1.0).abs() < 0.1);
+    assert!((count(&surging, other, true) / count(&baseline, other, true) - 1.0).abs() < 0.1);
 }
 
 fn fault_between(at: f64, duration: f64) -> Fault {
@@ -171,8 +171,8 @@
     let read = |call| Arrival {
         class: 1,
         key: None,
-        roams: true,
-        pick: call,
+        may_roam: true,
+        random_number: call,
         call,
         ..t.arrival
     };
@@ -198,7 +198,7 @@
     let bound_read = c.first_try(
         2 * SECOND,
         Arrival {
-            roams: false,
+            may_roam: false,
             ..read(80)
         },
     );
--- a/crates/simulation/tests/datagrams.rs
+++ b/crates/simulation/tests/datagrams.rs
@@ -46,15 +46,20 @@
     assert!((430..570).contains(&arrive(&mut fleet, 2 * SECOND)));
     assert_eq!(arrive(&mut fleet, 12 * SECOND), 1000);
     fleet.advance(21 * SECOND);
-    let hears = |a: u32| {
+    let gateway_reaches = |a: u32| {
         (0..4)
-            .filter(|&b| a != b && fleet.hears(GatewayId(a), GatewayId(b)))
+            .filter(|&b| a != b && fleet.gateway_reaches(GatewayId(a), GatewayId(b)))
             .count()
     };
     assert_eq!(
-        [hears(0), hears(1), hears(2), hears(3)],
+        [
+            gateway_reaches(0),
+            gateway_reaches(1),
+            gateway_reaches(2),
+            gateway_reaches(3)
+        ],
         [1, 1, 1, 1],
-        "two and two"
+        "each gateway reaches one other: two sides of two"
     );
     assert_eq!(
         d.send(0, &Fleet::new(&spec, 1, 0), GatewayId(0), GatewayId(1), 257),
