--- a/crates/simulation/src/clients.rs
+++ b/crates/simulation/src/clients.rs
@@ -1,5 +1,6 @@
-//! Clients: which requests come and when, whatever becomes of those before them (an open loop), and what a client does
-//! with the answer to a try. The front that spreads them over the gateways is here too.
+//! Clients: the arrival process of requests, which does not depend on how earlier requests end (an open loop), and the
+//! reaction of a client to the outcome of a try. Also contains the front layer, which distributes the tries over the
+//! gateways.
 
 use crate::faults::{self, PlannedFault};
 use crate::rng::{Rng, Stream};
@@ -8,109 +9,115 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 
-/// A request as it comes, before any try of it.
+/// The arrival of a request at its client, before the first try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Arrival {
-    /// When, since the start of the run.
+    /// Time of the arrival, since the start of the run.
     pub at: Ns,
-    /// Its number, in order of drawing.
+    /// Identifies the request: a sequence number, assigned in the order in which arrivals are drawn.
     pub call: u64,
-    /// Its set.
+    /// Replica set that the request addresses.
     pub set: SetId,
-    /// Its class, by its place in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Its work on a core.
+    /// CPU time that the request needs, in nanoseconds on one core.
     pub work: Ns,
-    /// Its session, in classes that have sessions.
+    /// Session of the request; `None` for classes other than session reads and writes.
     pub session: Option<u64>,
-    /// Its idempotency key, on a write.
+    /// Idempotency key of a write; `None` for a read.
     pub key: Option<u64>,
-    /// Decides on which gateway it comes in.
-    pub pick: u64,
-    /// It comes to any gateway, not to its session's.
-    pub roams: bool,
+    /// Random number that determines the gateway of a request that is not bound to its session's gateway, and whether
+    /// the client disconnects early.
+    pub random_number: u64,
+    /// Whether the request may go to any gateway instead of its session's gateway.
+    pub may_roam: bool,
 }
 
-/// The rates of the arrivals that follow no other, a second.
+/// Rates of the independent arrivals, that is, those that do not follow a write, per second.
 struct ArrivalRates {
-    /// The mean without surges.
+    /// Mean rate without traffic surges.
     base: f64,
-    /// No moment's rate is higher.
-    bound: f64,
-    /// The share of each class among them.
+    /// Upper bound of the rate at any time.
+    upper_bound: f64,
+    /// Share of each class among the independent arrivals.
     shares: Vec<f64>,
-    /// Session reads behind each write, in the mean.
+    /// Mean number of session reads that follow a write.
     followers_per_write: f64,
     swing: Swing,
 }
 
-/// A rate that rises and falls with time, as a sine.
+/// Sinusoidal variation of the arrival rate.
 struct Swing {
-    /// The part of the rate by which it rises and falls.
+    /// Amplitude, as a fraction of the mean rate.
     amplitude: f64,
-    /// In nanoseconds.
+    /// Period in nanoseconds.
     period: f64,
-    /// In radians.
+    /// Phase in radians.
     phase: f64,
 }
 
-/// All arrivals of a day, in order.
+/// Iterator over all arrivals of a day, in order of time.
 pub struct Arrivals {
     day: Day,
     needs: Vec<Need>,
     variations: Vec<f64>,
-    floods: Vec<PlannedFault>,
+    surges: Vec<PlannedFault>,
     sessions: u64,
     end: Ns,
     rates: ArrivalRates,
-    at: f64,
-    next: u64,
+    last_drawn_at: f64,
+    last_request: u64,
     rng: Rng,
     followers: BinaryHeap<Reverse<Arrival>>,
-    coming: Option<Arrival>,
+    next_independent: Option<Arrival>,
 }
 
 impl Arrivals {
-    /// The arrivals of a day.
+    /// Creates the arrivals of the day that `seed` gives.
     pub fn new(spec: &Spec, seed: u64) -> Self {
         let day = Day::draw(spec, seed);
         let needs: Vec<Need> = spec.classes.iter().map(|c| c.need).collect();
-        let sum = |need: Need| -> f64 {
-            let of = needs.iter().zip(&day.demand.class_shares);
-            of.filter(|(n, _)| **n == need)
+        let share_of = |need: Need| -> f64 {
+            let class_shares = needs.iter().zip(&day.demand.class_shares);
+            class_shares
+                .filter(|(n, _)| **n == need)
                 .map(|(_, share)| share)
                 .sum()
         };
-        let (reads, writes) = (sum(Need::Session), sum(Need::Write));
-        let follow = if writes > 0.0 {
-            reads * day.demand.follows
+        let (read_share, write_share) = (share_of(Need::Session), share_of(Need::Write));
+        let follower_share = if write_share > 0.0 {
+            read_share * day.demand.follower_share
         } else {
             0.0
         };
         let mut shares = day.demand.class_shares.clone();
         for (share, need) in shares.iter_mut().zip(&needs) {
-            if *need == Need::Session && reads > 0.0 {
-                *share *= 1.0 - follow / reads;
+            if *need == Need::Session && read_share > 0.0 {
+                *share *= 1.0 - follower_share / read_share;
             }
         }
-        let floods: Vec<PlannedFault> = faults::plan(spec, seed)
+        let surges: Vec<PlannedFault> = faults::plan(spec, seed)
             .into_iter()
             .filter(|p| p.fault.flood.is_some())
             .collect();
         let mut rng = Rng::new(seed, Stream::Arrivals);
         let phase = rng.between(0.0, std::f64::consts::TAU);
-        let base = day.demand.rate * (1.0 - follow);
-        let most: f64 = floods.iter().map(|f| f.part).sum();
+        let base = day.demand.rate * (1.0 - follower_share);
+        let max_surge: f64 = surges.iter().map(|f| f.part).sum();
         let mut arrivals = Arrivals {
             needs,
             variations: spec.classes.iter().map(|c| c.work_variation).collect(),
             sessions: u64::from(spec.traffic.sessions),
             end: seconds(spec.length_s),
             rates: ArrivalRates {
-                bound: base * (1.0 + spec.traffic.swing + most),
+                upper_bound: base * (1.0 + spec.traffic.swing + max_surge),
                 base,
                 shares,
-                followers_per_write: if writes > 0.0 { follow / writes } else { 0.0 },
+                followers_per_write: if write_share > 0.0 {
+                    follower_share / write_share
+                } else {
+                    0.0
+                },
                 swing: Swing {
                     amplitude: spec.traffic.swing,
                     period: spec.traffic.swing_s * 1e9,
@@ -118,90 +125,99 @@
                 },
             },
             day,
-            floods,
-            at: 0.0,
-            next: 0,
+            surges,
+            last_drawn_at: 0.0,
+            last_request: 0,
             rng,
             followers: BinaryHeap::new(),
-            coming: None,
+            next_independent: None,
         };
-        arrivals.coming = arrivals.draw();
+        arrivals.next_independent = arrivals.draw_independent();
         arrivals
     }
 
-    /// The next one that follows no other.
-    fn draw(&mut self) -> Option<Arrival> {
+    /// Draws the next independent arrival; `None` after the end of the run.
+    fn draw_independent(&mut self) -> Option<Arrival> {
         loop {
-            // Drawn at the highest rate, and kept with the part that the rate of the moment is of it.
-            let step = self.rng.exponential((1e9 / self.rates.bound) as Ns).max(1);
-            self.at += step as f64;
-            if self.at >= self.end as f64 {
+            // Thinning: candidates are drawn at the upper bound of the rate, and each is accepted with the probability
+            // `current rate / bound`.
+            let step = self
+                .rng
+                .exponential((1e9 / self.rates.upper_bound) as Ns)
+                .max(1);
+            self.last_drawn_at += step as f64;
+            if self.last_drawn_at >= self.end as f64 {
                 return None;
             }
             let swing = &self.rates.swing;
-            let angle = std::f64::consts::TAU * self.at / swing.period + swing.phase;
-            let calm = 1.0 + swing.amplitude * angle.sin();
-            let now = self.at as Ns;
-            let on = |f: &&PlannedFault| f.from <= now && now < f.until;
-            let flood: f64 = self.floods.iter().filter(on).map(|f| f.part).sum();
-            let kept = self.rng.unit() * self.rates.bound;
-            if kept >= self.rates.base * (calm + flood) {
+            let angle = std::f64::consts::TAU * self.last_drawn_at / swing.period + swing.phase;
+            let swing_factor = 1.0 + swing.amplitude * angle.sin();
+            let now = self.last_drawn_at as Ns;
+            let active = |f: &&PlannedFault| f.from <= now && now < f.until;
+            let surge: f64 = self.surges.iter().filter(active).map(|f| f.part).sum();
+            let candidate = self.rng.unit() * self.rates.upper_bound;
+            if candidate >= self.rates.base * (swing_factor + surge) {
                 continue;
             }
-            let set = if kept < self.rates.base * calm {
-                self.any_set()
+            let set = if candidate < self.rates.base * swing_factor {
+                self.random_set()
             } else {
-                self.flooded_set(now)
+                self.surging_set(now)
             };
-            let class = weighted(&self.rates.shares, self.rng.unit());
+            let class = weighted_index(&self.rates.shares, self.rng.unit());
             let session =
                 set.0 as u64 * self.sessions + self.rng.index(self.sessions as usize) as u64;
-            return Some(self.arrival(now, set, class, session));
+            return Some(self.new_arrival(now, set, class, session));
         }
     }
 
-    fn any_set(&mut self) -> SetId {
-        SetId(weighted(&self.day.demand.set_shares, self.rng.unit()) as u32)
+    fn random_set(&mut self) -> SetId {
+        SetId(weighted_index(&self.day.demand.set_shares, self.rng.unit()) as u32)
     }
 
-    fn flooded_set(&mut self, now: Ns) -> SetId {
-        let on: Vec<&PlannedFault> = self
-            .floods
+    fn surging_set(&mut self, now: Ns) -> SetId {
+        let active: Vec<&PlannedFault> = self
+            .surges
             .iter()
             .filter(|f| f.from <= now && now < f.until)
             .collect();
-        let parts: Vec<f64> = on.iter().map(|f| f.part).collect();
+        let parts: Vec<f64> = active.iter().map(|f| f.part).collect();
         let sum: f64 = parts.iter().sum();
         let shares: Vec<f64> = parts.iter().map(|p| p / sum.max(1e-12)).collect();
-        let sets = on[weighted(&shares, self.rng.unit())].sets.clone();
+        let sets = active[weighted_index(&shares, self.rng.unit())]
+            .sets
+            .clone();
         sets[self.rng.index(sets.len())]
     }
 
-    fn arrival(&mut self, at: Ns, set: SetId, class: usize, session: u64) -> Arrival {
-        self.next += 1;
+    fn new_arrival(&mut self, at: Ns, set: SetId, class: usize, session: u64) -> Arrival {
+        self.last_request += 1;
         let work = self
             .rng
             .log_normal(self.day.demand.work[class], self.variations[class]);
         let need = self.needs[class];
         let has_session = matches!(need, Need::Session | Need::Write);
-        let (pick, roams) = (self.rng.number(), self.rng.chance(self.day.demand.roams));
+        let (random_number, may_roam) = (
+            self.rng.number(),
+            self.rng.chance(self.day.demand.roaming_share),
+        );
         Arrival {
             at,
-            call: self.next,
+            call: self.last_request,
             set,
             class,
             work: (work as Ns).max(1000),
             session: has_session.then_some(session),
-            // Never 0, and the same for all tries.
-            key: (need == Need::Write).then_some(self.next << 8 | 1),
-            pick,
-            roams,
+            // The key is never 0, and all tries of the request carry the same key.
+            key: (need == Need::Write).then_some(self.last_request << 8 | 1),
+            random_number,
+            may_roam,
         }
     }
 }
 
-/// The place of this part of the whole among shares that sum up to 1.
-fn weighted(shares: &[f64], mut at: f64) -> usize {
+/// Returns the index of the share into which the fraction `at` of the total falls.
+fn weighted_index(shares: &[f64], mut at: f64) -> usize {
     let sum: f64 = shares.iter().sum();
     at *= sum;
     for (i, share) in shares.iter().enumerate() {
@@ -217,7 +233,7 @@
     type Item = Arrival;
 
     fn next(&mut self) -> Option<Arrival> {
-        let follower_first = match (self.followers.peek(), &self.coming) {
+        let follower_first = match (self.followers.peek(), &self.next_independent) {
             (Some(Reverse(f)), Some(c)) => (f.at, f.call) < (c.at, c.call),
             (Some(_), None) => true,
             (None, _) => false,
@@ -225,127 +241,127 @@
         if follower_first {
             return self.followers.pop().map(|Reverse(f)| f);
         }
-        let arrival = self.coming.take()?;
+        let arrival = self.next_independent.take()?;
         if self.needs[arrival.class] == Need::Write {
-            let reads: Vec<f64> = (self.needs.iter().zip(&self.day.demand.class_shares))
+            let read_shares: Vec<f64> = (self.needs.iter().zip(&self.day.demand.class_shares))
                 .map(|(n, share)| if *n == Need::Session { *share } else { 0.0 })
                 .collect();
             for _ in 0..self.rng.poisson(self.rates.followers_per_write) {
-                let at = arrival.at + self.rng.exponential(self.day.demand.gap).max(1);
-                let class = weighted(&reads, self.rng.unit());
+                let at = arrival.at + self.rng.exponential(self.day.demand.follower_gap).max(1);
+                let class = weighted_index(&read_shares, self.rng.unit());
                 let session = arrival.session.unwrap_or(0);
-                let follower = self.arrival(at, arrival.set, class, session);
+                let follower = self.new_arrival(at, arrival.set, class, session);
                 if at < self.end {
                     self.followers.push(Reverse(follower));
                 }
             }
         }
-        self.coming = self.draw();
+        self.next_independent = self.draw_independent();
         Some(arrival)
     }
 }
 
-/// One try of a request, as a client sends it.
+/// One try of a request, as its client sends it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Try {
-    /// The request.
+    /// Identifies the request.
     pub call: u64,
-    /// Which try of it, from 0.
+    /// Number of the try within the request, from 0.
     pub number: u32,
-    /// Where it is sent.
+    /// Gateway to which the try is sent.
     pub gateway: GatewayId,
-    /// Its set, class, work, session and key.
+    /// The request, with its set, class, work, session and key.
     pub arrival: Arrival,
-    /// The commit that it has to see; 0 for none.
+    /// Time of the commit that a session read must observe; 0 for none.
     pub mark: Ns,
-    /// It is marked as a repeat.
+    /// Whether the client marks the try as a retry.
     pub marked: bool,
-    /// When it is sent.
+    /// Time at which the client sends the try.
     pub sent: Ns,
-    /// When it is given up.
+    /// Time at which the client gives up the try.
     pub deadline: Ns,
-    /// When its client leaves, where that is before.
+    /// Time before the deadline at which the client disconnects; `None` if it waits until the deadline.
     pub leaves: Option<Ns>,
 }
 
-/// How a try ended, as its client sees it.
+/// Outcome of a try, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TryOutcome {
-    /// A row; of a write, its commit.
+    /// The client received a row.
     Served {
-        /// The commit, in the clock of the run.
+        /// Time of the commit of a write, on the clock of the run.
         commit: Option<Ns>,
     },
-    /// Refused, with the pause that was told.
+    /// The gateway rejected the request.
     Refused {
-        /// For so long the client is to stay away.
+        /// Time that the rejection asks the client to wait before a retry.
         pause: Option<Ns>,
     },
-    /// An error.
+    /// The client received an error.
     Failed,
-    /// No gateway was reached: it never came there.
+    /// The gateway could not be reached, so the request cannot have run.
     Unreachable,
     /// The connection broke before an answer.
     Broken,
-    /// Nothing came in time.
+    /// No answer arrived before the deadline of the try.
     TimedOut,
-    /// The client left of its own accord.
+    /// The client disconnected before the deadline.
     Left,
 }
 
-/// What has become of a request, with its retries folded into its first try.
+/// Result of a request over all its tries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Finished {
-    /// The request.
+    /// The arrival of the request.
     pub arrival: Arrival,
-    /// When it was served, if it was.
+    /// Time at which the request was served; `None` if it was not.
     pub served: Option<Ns>,
-    /// Tries that it took.
+    /// Number of tries.
     pub tries: u32,
-    /// How the last one ended.
+    /// Outcome of the last try.
     pub last: TryOutcome,
 }
 
-/// What a client does next.
+/// Next step of a client after the end of a try.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextStep {
-    /// It tries again at this time.
+    /// The client sends another try at this time.
     Again(Ns),
-    /// It is done.
+    /// The request is finished.
     Done(Finished),
-    /// Nothing: the try is over already.
+    /// Nothing, because the end of the try was already handled.
     Nothing,
 }
 
 struct Call {
     arrival: Arrival,
     number: u32,
-    out: bool,
-    /// When the first try that may have run was sent.
+    in_flight: bool,
+    /// Time at which the first try that may have run was sent; `None` if none can have run.
     may_have_run: Option<Ns>,
     backoff: Ns,
 }
 
-/// When clients give up and try again.
+/// Rules by which clients give up tries and send retries.
 struct RetryPolicy {
     spec: ClientSpec,
-    /// A set drops the repeat of a keyed write for this long.
-    window: Ns,
+    /// Time during which a set ignores a repeat of a keyed write, from the arrival of the first copy.
+    repeat_window: Ns,
     patience: f64,
     backoff: Ns,
     honour: f64,
 }
 
-/// The front layer that spreads requests over the gateways.
+/// The front layer, which distributes tries over the gateways.
 struct Front {
     gateways: u32,
-    /// Gateways that are dead, and since when.
-    dead: BTreeMap<GatewayId, Ns>,
-    /// A dead gateway is noticed after this time.
-    notice: Ns,
+    /// Dead gateways, each with the time of its death.
+    dead_since: BTreeMap<GatewayId, Ns>,
+    /// Time from the death of a gateway until the front stops sending to it.
+    detection_delay: Ns,
 }
 
-/// The clients and their front.
+/// The clients and the front layer.
 pub struct Clients {
     start: Ns,
     deadlines: Vec<Ns>,
@@ -353,13 +369,13 @@
     retry: RetryPolicy,
     front: Front,
     open: HashMap<u64, Call>,
-    /// The last commit that each session knows of.
+    /// Time of the last commit that each session has been informed of.
     marks: HashMap<u64, Ns>,
     rng: Rng,
 }
 
 impl Clients {
-    /// The clients of a day that starts then.
+    /// Creates the clients of the day that `seed` gives; the run starts at `start`.
     pub fn new(spec: &Spec, seed: u64, start: Ns) -> Self {
         let day = Day::draw(spec, seed);
         Clients {
@@ -368,15 +384,15 @@
             needs: spec.classes.iter().map(|c| c.need).collect(),
             retry: RetryPolicy {
                 spec: spec.clients.clone(),
-                window: seconds(spec.sets.window_s),
+                repeat_window: seconds(spec.sets.window_s),
                 patience: day.clients.patience,
                 backoff: day.clients.backoff,
                 honour: day.clients.honour,
             },
             front: Front {
                 gateways: spec.gateways,
-                dead: BTreeMap::new(),
-                notice: day.clients.front_notice,
+                dead_since: BTreeMap::new(),
+                detection_delay: day.clients.front_notice,
             },
             open: HashMap::new(),
             marks: HashMap::new(),
@@ -384,36 +400,36 @@
         }
     }
 
-    /// Requests that are not finished.
+    /// Returns the number of unfinished requests.
     pub fn open(&self) -> usize {
         self.open.len()
     }
 
-    /// A gateway dies, or starts again.
+    /// Records that a gateway died (`up` is false) or started again.
     pub fn set_gateway_state(&mut self, now: Ns, gateway: GatewayId, up: bool) {
         if up {
-            self.front.dead.remove(&gateway);
+            self.front.dead_since.remove(&gateway);
         } else {
-            self.front.dead.insert(gateway, now);
+            self.front.dead_since.insert(gateway, now);
         }
     }
 
-    /// Where the front sends a request: to its session's gateway or to any. It goes on sending to a dead one until it
-    /// has noticed.
+    /// Returns the gateway to which the front sends a try: the session's gateway, or any gateway for a request that has
+    /// no session or that roams. The front keeps sending to a dead gateway until it detects the failure.
     fn choose_gateway(&self, now: Ns, arrival: &Arrival, number: u32) -> GatewayId {
         let count = u64::from(self.front.gateways.max(1));
-        let sticky = arrival.session.filter(|_| !arrival.roams);
-        let pick = match sticky {
-            Some(session) => mix(session),
-            None => mix(arrival.pick ^ u64::from(number)),
+        let bound_session = arrival.session.filter(|_| !arrival.may_roam);
+        let random = match bound_session {
+            Some(session) => hash(session),
+            None => hash(arrival.random_number ^ u64::from(number)),
         };
         let known_dead = |g: GatewayId| {
             self.front
-                .dead
+                .dead_since
                 .get(&g)
-                .is_some_and(|&since| now >= since + self.front.notice)
+                .is_some_and(|&since| now >= since + self.front.detection_delay)
         };
-        let first = GatewayId((pick % count) as u32);
+        let first = GatewayId((random % count) as u32);
         if !known_dead(first) {
             return first;
         }
@@ -424,31 +440,31 @@
         if alive.is_empty() {
             first
         } else {
-            alive[(mix(pick) % alive.len() as u64) as usize]
+            alive[(hash(random) % alive.len() as u64) as usize]
         }
     }
 
-    /// A request comes: its first try.
+    /// Adds the request of an arrival and returns its first try.
     pub fn first_try(&mut self, now: Ns, arrival: Arrival) -> Try {
         let call = Call {
             arrival,
             number: 0,
-            out: false,
+            in_flight: false,
             may_have_run: None,
             backoff: self.retry.backoff,
         };
         self.open.insert(arrival.call, call);
-        self.attempt(now, arrival.call)
+        self.start_try(now, arrival.call)
     }
 
-    /// A client tries again, at the time that it was told to.
+    /// Returns the next try, to be sent at the time that [`NextStep::Again`] gave; `None` if the request is finished.
     pub fn next_try(&mut self, now: Ns, call: u64) -> Option<Try> {
         self.open
             .contains_key(&call)
-            .then(|| self.attempt(now, call))
+            .then(|| self.start_try(now, call))
     }
 
-    fn attempt(&mut self, now: Ns, id: u64) -> Try {
+    fn start_try(&mut self, now: Ns, id: u64) -> Try {
         let call = &self.open[&id];
         let arrival = call.arrival;
         let number = call.number;
@@ -460,11 +476,13 @@
             .filter(|_| session_read)
             .and_then(|s| self.marks.get(&s))
             .copied();
-        // Whether this one leaves early is its own matter: the draws of others do not shift it.
-        let draw = mix(arrival.pick ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
+        // Whether a client leaves early is derived from the request's own random number, so that it does not depend
+        // on the draws for other requests.
+        let draw =
+            hash(arrival.random_number ^ 0x1eaf ^ u64::from(number)) as f64 / u64::MAX as f64;
         let leaves = (draw < self.retry.spec.impatient).then_some(now + patience / 2);
         if let Some(call) = self.open.get_mut(&id) {
-            call.out = true;
+            call.in_flight = true;
         }
         let marked = self.retry.spec.marked && number > 0;
         let mark = mark.unwrap_or(0);
@@ -481,7 +499,7 @@
         }
     }
 
-    /// A try has ended: what its client does next. A try that is over already ends once only.
+    /// Records the end of a try and returns the next step of its client. A second end of the same try has no effect.
     pub fn finish_try(
         &mut self,
         now: Ns,
@@ -493,12 +511,12 @@
         let Some(call) = self
             .open
             .get_mut(&id)
-            .filter(|c| c.out && c.number == number)
+            .filter(|c| c.in_flight && c.number == number)
         else {
             return NextStep::Nothing;
         };
-        call.out = false;
-        let write = self.needs[call.arrival.class] == Need::Write;
+        call.in_flight = false;
+        let is_write = self.needs[call.arrival.class] == Need::Write;
         if matches!(
             outcome,
             TryOutcome::Failed | TryOutcome::Broken | TryOutcome::TimedOut | TryOutcome::Left
@@ -514,13 +532,14 @@
         }
         let (number, backoff, may_have_run) = (call.number, call.backoff, call.may_have_run);
         let at = now + self.retry_delay(backoff, outcome);
-        let may = match (write, self.retry.spec.writes, may_have_run) {
+        let may_retry = match (is_write, self.retry.spec.writes, may_have_run) {
             (false, ..) | (_, WriteRepeats::Always, _) | (_, _, None) => true,
             (_, WriteRepeats::Refused, Some(_)) => false,
-            // Its set drops a repeat that comes within the window; a third of it is for the way and the queue.
-            (_, WriteRepeats::Window, Some(first)) => at < first + self.retry.window * 2 / 3,
+            // The set ignores a repeat that arrives within the window. A third of the window is reserved for the time
+            // from the client to the host, queueing included.
+            (_, WriteRepeats::Window, Some(first)) => at < first + self.retry.repeat_window * 2 / 3,
         };
-        if number >= self.retry.spec.retries || outcome == TryOutcome::Left || !may {
+        if number >= self.retry.spec.retries || outcome == TryOutcome::Left || !may_retry {
             return self.finish_request(id, None, outcome);
         }
         if let Some(call) = self.open.get_mut(&id) {
@@ -531,14 +550,14 @@
     }
 
     fn retry_delay(&mut self, backoff: Ns, outcome: TryOutcome) -> Ns {
-        let chance = self.rng.between(0.5, 1.5);
-        let own = (backoff as f64 * chance) as Ns;
+        let factor = self.rng.between(0.5, 1.5);
+        let delay = (backoff as f64 * factor) as Ns;
         let honours = self.rng.chance(self.retry.honour);
         match outcome {
             TryOutcome::Refused { pause: Some(pause) } if honours => {
-                own.max(pause.min(ms(self.retry.spec.longest_wait_ms)))
+                delay.max(pause.min(ms(self.retry.spec.longest_wait_ms)))
             }
-            _ => own,
+            _ => delay,
         }
     }
 
@@ -554,14 +573,14 @@
         }
     }
 
-    /// Time since the start of the run.
+    /// Converts a time on the clock of the run to the time since the start of the run.
     pub fn since_start(&self, now: Ns) -> Ns {
         now - self.start
     }
 }
 
-/// Spreads a number over all numbers (the finaliser of SplitMix64).
-fn mix(x: u64) -> u64 {
+/// Hashes a number (the finaliser of SplitMix64).
+fn hash(x: u64) -> u64 {
     let mut z = x.wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     z = (z ^ (z >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/crates/simulation/src/fleet/fault_effects.rs
+++ b/crates/simulation/src/fleet/fault_effects.rs
@@ -1,4 +1,4 @@
-//! What the planned faults do to the fleet when they begin and when they end.
+//! Effects of the planned faults on the fleet when they begin and when they end.
 
 use super::messages::Output;
 use super::{Event, Fleet};
@@ -9,14 +9,14 @@
 use crate::spec::Fault;
 use crate::{HostId, Ns, MS};
 
-/// A host that has drained is started anew after this time.
+/// Time from the end of a drain, when the host stops, until the host starts again.
 const REPLACEMENT_DELAY: Ns = 1000 * MS;
 
 impl Fleet {
-    /// A planned fault begins: its hosts are picked now, because roles are known only at this moment.
+    /// Begins a planned fault. Its hosts are chosen now, because their roles are not known earlier.
     pub(super) fn begin_fault(&mut self, now: Ns, index: usize) {
         let planned = self.faults.plan[index].clone();
-        let hosts = self.pick_hosts(&planned.fault, index);
+        let hosts = self.choose_hosts(&planned.fault, index);
         for &host in &hosts {
             self.apply_fault(now, &planned, host);
         }
@@ -27,7 +27,7 @@
         if planned.fault.discovery_silent.is_some() {
             self.list.set_silent(true);
         }
-        self.faults.struck_hosts.insert(index, hosts.clone());
+        self.faults.affected_hosts.insert(index, hosts.clone());
         self.outputs.push(Output::Fault {
             index,
             begins: true,
@@ -35,15 +35,15 @@
         });
     }
 
-    /// The running hosts that a fault strikes. Each fault draws from a stream of its own.
-    fn pick_hosts(&self, fault: &Fault, index: usize) -> Vec<HostId> {
+    /// Chooses the hosts that a fault affects, among the running ones. Each fault draws from its own stream.
+    fn choose_hosts(&self, fault: &Fault, index: usize) -> Vec<HostId> {
         let running: Vec<HostId> = self
             .hosts
             .iter()
             .filter(|host| host.state == State::Up)
             .map(|host| host.id)
             .collect();
-        let everywhere = fault.slow_apply.is_some() || fault.slowdown.is_some();
+        let all_by_default = fault.slow_apply.is_some() || fault.slowdown.is_some();
         let selections = fault.host_selections();
         match selections.first() {
             Some((_, selection)) => {
@@ -53,9 +53,9 @@
                     let set = self.hosts[id.0 as usize].set;
                     self.sets[set.0 as usize].primary == Some(id)
                 };
-                faults::pick(selection, &running, is_primary, &mut rng)
+                faults::choose_hosts(selection, &running, is_primary, &mut rng)
             }
-            None if everywhere => running,
+            None if all_by_default => running,
             None => Vec::new(),
         }
     }
@@ -81,21 +81,22 @@
             self.hosts[host_index].condition.errors = failing.part;
         } else if fault.slow_apply.is_some() {
             let applier = &mut self.hosts[host_index].applier;
-            applier.slow(now, source, planned.times);
+            applier.set_slowdown(now, source, planned.times);
         } else if fault.slowdown.is_some() {
-            self.hosts[host_index].slow_by(&self.spec.hosts, now, planned.times);
+            self.hosts[host_index].multiply_slowdown(&self.spec.hosts, now, planned.times);
             self.schedule_finish(now, host);
         } else if fault.drain.is_some() {
             self.start_drain(now, host);
         }
     }
 
-    /// A host starts to drain. A primary gives up its role at once; its successor is elected after the hand-over time.
+    /// Starts the drain of a host. A primary gives up its role at once, and its successor is elected after the
+    /// hand-over time.
     fn start_drain(&mut self, now: Ns, host: HostId) {
         self.hosts[host.0 as usize].condition.draining = true;
         self.announce(now, host, ListedState::Draining, false);
         let set = self.hosts[host.0 as usize].set;
-        // Drawn also for a replica, so that the draws of the set do not depend on roles.
+        // Drawn for replicas too, so that the set's later draws do not depend on roles.
         let hand_over = self.draw_role_delay(set, self.spec.sets.switch_s);
         let replica_set = &mut self.sets[set.0 as usize];
         if replica_set.primary != Some(host) {
@@ -112,10 +113,14 @@
         self.schedule(now + hand_over, Event::Elect { set, term });
     }
 
-    /// A planned fault ends: what it changed is undone, or its hosts start again.
+    /// Ends a planned fault: reverts its effects or restarts its hosts.
     pub(super) fn end_fault(&mut self, now: Ns, index: usize) {
         let planned = self.faults.plan[index].clone();
-        let hosts = self.faults.struck_hosts.remove(&index).unwrap_or_default();
+        let hosts = self
+            .faults
+            .affected_hosts
+            .remove(&index)
+            .unwrap_or_default();
         for &host in &hosts {
             self.undo_fault(now, &planned, host);
         }
@@ -152,9 +157,11 @@
             self.hosts[host_index].condition.errors = self.spec.hosts.errors;
         } else if fault.slow_apply.is_some() {
             let source = self.sets[self.hosts[host_index].set.0 as usize].source(&self.day);
-            self.hosts[host_index].applier.slow(now, source, 1.0);
+            self.hosts[host_index]
+                .applier
+                .set_slowdown(now, source, 1.0);
         } else if fault.slowdown.is_some() {
-            self.hosts[host_index].slow_by(&self.spec.hosts, now, 1.0 / planned.times);
+            self.hosts[host_index].multiply_slowdown(&self.spec.hosts, now, 1.0 / planned.times);
             self.schedule_finish(now, host);
         } else if fault.drain.is_some() && self.hosts[host_index].state == State::Up {
             self.stop_host(now, host, State::Down);
--- a/crates/simulation/src/fleet/queries.rs
+++ b/crates/simulation/src/fleet/queries.rs
@@ -1,4 +1,4 @@
-//! Connections, probes and statements at a host: from their arrival to their answer.
+//! Connections, probes and queries at a host, from arrival to answer.
 
 use super::messages::{Answer, Delivery, Output, ProbeResult, Query, ReplicaStatus};
 use super::replica_set::KeyedWrite;
@@ -8,32 +8,32 @@
 use crate::spec::{Checks, Need};
 use crate::{ms, seconds, GatewayId, HostId, Ns, MS};
 
-/// A read that waits for its copy to catch up looks again this often.
+/// Interval at which a read that waits for its host to catch up checks the position again.
 const LAG_RECHECK_INTERVAL: Ns = 2 * MS;
 
-/// The commits that a read found applied when it began, and those that it needed.
+/// Number of commits that the host had applied when a query began, and number that the query needed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct DataVersion {
     applied: u64,
     needed: u64,
 }
 
-/// Whether a read comes to its host now, or has waited there for the data to catch up.
+/// Whether a query has just arrived at its host, or has waited there for the host to catch up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Admission {
     Arrival,
     Recheck,
 }
 
-/// What a host works on.
+/// Kind of work that a job is.
 pub(super) enum JobKind {
     Query {
         query: Query,
-        /// The place of its key among those remembered.
-        key_at: usize,
-        /// Commits that its data held when it began, and those that it needed.
+        /// Index of the write's entry among the remembered entries of its key.
+        key_index: usize,
+        /// Commits that were applied when the query began, and those that it needed.
         data: DataVersion,
-        /// It stops its host from applying the log.
+        /// Whether the query stops its host from applying the log.
         blocks: bool,
     },
     Connect {
@@ -48,7 +48,7 @@
 }
 
 impl Fleet {
-    /// A connection is asked for. When it is up, [`Output::Connected`] tells.
+    /// Opens a connection. If accepted, [`Output::Connected`] reports when it is established.
     pub fn connect(&mut self, now: Ns, gateway: GatewayId, host: HostId, ticket: u64) -> Delivery {
         if !self.reaches(gateway, host) {
             return Delivery::NoResponse;
@@ -68,21 +68,21 @@
         if self.hosts[host.0 as usize].state != State::Up {
             return Delivery::Reset;
         }
-        self.start_side_job(now, host, work, JobKind::Connect { ticket });
+        self.start_job_without_slot(now, host, work, JobKind::Connect { ticket });
         Delivery::Accepted
     }
 
-    /// A connection of a host's earlier or present process is closed.
+    /// Closes a connection to a host; one of an earlier epoch is ignored.
     pub fn close(&mut self, now: Ns, host: HostId, epoch: u32) {
         let member = &mut self.hosts[host.0 as usize];
         if member.epoch == epoch && member.held.connections > 0 {
             member.held.connections -= 1;
-            member.retune(&self.spec.hosts, now);
+            member.update_capacity(&self.spec.hosts, now);
             self.schedule_finish(now, host);
         }
     }
 
-    /// A probe: its report, at once. It costs the host work.
+    /// Probes a host and returns its report at once. The probe costs the host CPU time.
     pub fn probe(&mut self, now: Ns, gateway: GatewayId, host: HostId) -> ProbeResult {
         if !self.reaches(gateway, host) {
             return ProbeResult::NoResponse;
@@ -97,16 +97,16 @@
         if self.hosts[host.0 as usize].state != State::Up {
             return ProbeResult::Refused;
         }
-        self.start_side_job(now, host, work, JobKind::Probe);
+        self.start_job_without_slot(now, host, work, JobKind::Probe);
         ProbeResult::Report(self.hosts[host.0 as usize].report)
     }
 
-    /// A statement comes, on a connection of this epoch.
+    /// Sends a query to a host, on a connection of the given epoch.
     pub fn query(&mut self, now: Ns, host: HostId, epoch: u32, query: Query) -> Delivery {
-        if let Some(told) = self.list.drain_notice_time(query.gateway, host) {
+        if let Some(notified_at) = self.list.drain_notice_time(query.gateway, host) {
             let grace = ms(self.spec.rules.drain_grace_ms);
             self.invariants
-                .sent(query.sent, query.gateway, host, told, grace);
+                .record_sent(query.sent, query.gateway, host, notified_at, grace);
         }
         if !self.reaches(query.gateway, host) {
             return Delivery::NoResponse;
@@ -117,7 +117,11 @@
             State::Down => Delivery::Reset,
             _ if member.epoch != epoch => Delivery::Reset,
             State::Hung => {
-                self.jobs.at_hung_hosts.entry(host).or_default().push(query);
+                self.jobs
+                    .queued_at_hung_hosts
+                    .entry(host)
+                    .or_default()
+                    .push(query);
                 Delivery::NoResponse
             }
             State::Up => self.handle_query(now, host, query),
@@ -135,19 +139,19 @@
             return Delivery::Accepted;
         }
         let set = &mut self.sets[member.set.0 as usize];
-        let primary = set.primary == Some(host) && set.primary_since.is_some();
-        let write = self.spec.classes[query.class].need == Need::Write;
-        if write && !primary {
+        let is_primary = set.primary == Some(host) && set.primary_since.is_some();
+        let is_write = self.spec.classes[query.class].need == Need::Write;
+        if is_write && !is_primary {
             self.send_answer(now, host, &query, Answer::Miss, 0);
             return Delivery::Accepted;
         }
-        let mut key_at = 0;
-        if let Some(key) = query.key.filter(|_| write) {
-            key_at = set.remember_key(now, key, seconds(self.spec.sets.window_s));
+        let mut key_index = 0;
+        if let Some(key) = query.key.filter(|_| is_write) {
+            key_index = set.remember_key(now, key, seconds(self.spec.sets.window_s));
         }
         let kind = JobKind::Query {
             query,
-            key_at,
+            key_index,
             data: DataVersion::default(),
             blocks: false,
         };
@@ -155,15 +159,21 @@
         self.jobs
             .active
             .insert(self.jobs.last_number, Job { host, kind });
-        let wait = match self.spec.hosts.checks {
+        let max_wait = match self.spec.hosts.checks {
             Checks::Wait => ms(self.spec.hosts.wait_ms),
             Checks::Refuse | Checks::None => 0,
         };
-        self.admit_query(now, self.jobs.last_number, now + wait, Admission::Arrival);
+        self.admit_query(
+            now,
+            self.jobs.last_number,
+            now + max_wait,
+            Admission::Arrival,
+        );
         Delivery::Accepted
     }
 
-    /// A read whose data are recent enough gets a slot or waits for one; another one waits to be, or is turned away.
+    /// Admits a query. If the host has applied the commits that it needs, the query gets a slot, waits for one, or is
+    /// rejected if the queue is full. Otherwise it waits until `until` for the host to catch up, and is then rejected.
     pub(super) fn admit_query(&mut self, now: Ns, job: u64, until: Ns, admission: Admission) {
         let Some(Job {
             host,
@@ -195,7 +205,7 @@
             self.start_query(now, job);
         } else if member.held.waiting.len() < self.spec.hosts.room as usize {
             member.held.waiting.push_back(job);
-            member.retune(&self.spec.hosts, now);
+            member.update_capacity(&self.spec.hosts, now);
             self.schedule_finish(now, host);
         } else {
             self.jobs.active.remove(&job);
@@ -203,7 +213,7 @@
         }
     }
 
-    /// The commits that a host has applied, and the position that a read needs.
+    /// Returns the number of commits that a host has applied, and the position that a query needs.
     pub(super) fn applied_and_needed(&mut self, now: Ns, host: HostId, query: &Query) -> (u64, Ns) {
         let class = &self.spec.classes[query.class];
         let needed = match class.need {
@@ -221,7 +231,7 @@
         (member.applier.applied(), needed)
     }
 
-    /// A statement gets its slot.
+    /// Starts a query in a slot.
     pub(super) fn start_query(&mut self, now: Ns, job: u64) {
         let Some(Job {
             host,
@@ -231,12 +241,12 @@
             return;
         };
         let (host, query) = (*host, query.clone());
-        let (had, needed) = self.applied_and_needed(now, host, &query);
+        let (applied, needed) = self.applied_and_needed(now, host, &query);
         let set = &self.sets[self.hosts[host.0 as usize].set.0 as usize];
-        let needed = set.log.until(needed);
-        let primary = set.primary == Some(host);
-        let stops = self.spec.classes[query.class].blocks && !primary;
-        if stops {
+        let needed = set.log.count_until(needed);
+        let is_primary = set.primary == Some(host);
+        let stops_applying = self.spec.classes[query.class].blocks && !is_primary;
+        if stops_applying {
             self.hosts[host.0 as usize]
                 .applier
                 .stop(now, set.source(&self.day), true);
@@ -247,38 +257,41 @@
             ..
         }) = self.jobs.active.get_mut(&job)
         {
-            *data = DataVersion {
-                applied: had,
-                needed,
-            };
-            *blocks = stops;
+            *data = DataVersion { applied, needed };
+            *blocks = stops_applying;
         }
         let member = &mut self.hosts[host.0 as usize];
         member.held.running += 1;
-        member.retune(&self.spec.hosts, now);
+        member.update_capacity(&self.spec.hosts, now);
         member.cpu.add(now, query.work, job);
         self.schedule_finish(now, host);
     }
 
-    /// Work beside the slots.
-    pub(super) fn start_side_job(&mut self, now: Ns, host: HostId, work: Ns, kind: JobKind) {
+    /// Starts a job that occupies no slot: a connection or a probe.
+    pub(super) fn start_job_without_slot(
+        &mut self,
+        now: Ns,
+        host: HostId,
+        work: Ns,
+        kind: JobKind,
+    ) {
         self.jobs.last_number += 1;
         self.jobs
             .active
             .insert(self.jobs.last_number, Job { host, kind });
         let member = &mut self.hosts[host.0 as usize];
-        member.retune(&self.spec.hosts, now);
+        member.update_capacity(&self.spec.hosts, now);
         member.cpu.add(now, work, self.jobs.last_number);
         self.schedule_finish(now, host);
     }
 
-    /// Work arrives at a host, taken or not: a cold one may fall over.
+    /// Records work that arrives at a host, accepted or rejected. A cold host that is offered too much dies.
     pub(super) fn record_offered_work(&mut self, now: Ns, host: HostId, work: Ns) {
         let member = &mut self.hosts[host.0 as usize];
-        let load = member.offered(&self.spec.hosts, now, work);
+        let load = member.record_offered_work(&self.spec.hosts, now, work);
         if member.cold(now) && load > self.spec.rules.tip_multiple {
-            member.condition.fallen = true;
-            self.invariants.knocked_over(now, host, load);
+            member.condition.overloaded = true;
+            self.invariants.record_overload(now, host, load);
             self.outputs.push(Output::HostOverloaded { host });
             self.stop_host(now, host, State::Down);
             self.announce(now, host, ListedState::Gone, false);
@@ -316,14 +329,14 @@
         };
         let index = host.0 as usize;
         match kind {
-            JobKind::Probe => self.hosts[index].retune(&self.spec.hosts, now),
+            JobKind::Probe => self.hosts[index].update_capacity(&self.spec.hosts, now),
             JobKind::Connect { ticket } => {
-                self.hosts[index].retune(&self.spec.hosts, now);
+                self.hosts[index].update_capacity(&self.spec.hosts, now);
                 self.outputs.push(Output::Connected { ticket, host });
             }
             JobKind::Query {
                 query,
-                key_at,
+                key_index,
                 data,
                 blocks,
             } => {
@@ -331,20 +344,20 @@
                     self.resume_applying(now, host);
                 }
                 self.hosts[index].held.running -= 1;
-                self.complete_query(now, host, &query, key_at, data);
+                self.complete_query(now, host, &query, key_index, data);
                 if let Some(next) = self.hosts[index].held.waiting.pop_front() {
                     self.start_query(now, next);
                 }
-                self.hosts[index].retune(&self.spec.hosts, now);
+                self.hosts[index].update_capacity(&self.spec.hosts, now);
             }
         }
     }
 
     pub(super) fn resume_applying(&mut self, now: Ns, host: HostId) {
         let member = &mut self.hosts[host.0 as usize];
-        let from = self.sets[member.set.0 as usize].source(&self.day);
+        let source = self.sets[member.set.0 as usize].source(&self.day);
         member.held.blocking -= 1;
-        member.applier.stop(now, from, false);
+        member.applier.stop(now, source, false);
     }
 
     pub(super) fn complete_query(
@@ -352,45 +365,46 @@
         now: Ns,
         host: HostId,
         query: &Query,
-        key_at: usize,
+        key_index: usize,
         data: DataVersion,
     ) {
         let member = &self.hosts[host.0 as usize];
         let set = &mut self.sets[member.set.0 as usize];
-        let spoilt =
+        let fails =
             member.condition.errors > 0.0 && self.random.rng.chance(member.condition.errors);
         if self.spec.classes[query.class].need != Need::Write {
-            if spoilt {
+            if fails {
                 return self.send_answer(now, host, query, Answer::Error, query.work);
             }
-            self.invariants.read(now, host, data.applied, data.needed);
+            self.invariants
+                .record_read(now, host, data.applied, data.needed);
             return self.send_answer(now, host, query, Answer::Row, query.work);
         }
-        // A write that is still held when the role is lost ends in an error, and has had no effect.
+        // A write that is still running when its host loses the role of primary ends in an error and has no effect.
         if set.primary != Some(host) || set.primary_since.is_none() {
             return self.send_answer(now, host, query, Answer::Error, query.work);
         }
-        let known = query
+        let remembered = query
             .key
             .and_then(|k| set.keys.get_mut(&k))
-            .and_then(|k| k.get_mut(key_at));
-        let commit = match known {
+            .and_then(|k| k.get_mut(key_index));
+        let commit = match remembered {
             Some(KeyedWrite {
                 commit: Some(commit),
                 ..
             }) => *commit,
-            known => {
+            remembered => {
                 set.log.push(now);
-                if let Some(k) = known {
+                if let Some(k) = remembered {
                     k.commit = Some(now);
                 }
                 if let Some(key) = query.key {
-                    self.invariants.applied(now, key);
+                    self.invariants.record_applied(now, key);
                 }
                 now
             }
         };
-        if spoilt {
+        if fails {
             return self.send_answer(now, host, query, Answer::Error, query.work);
         }
         let note = ReplicaStatus {
--- a/crates/simulation/src/host.rs
+++ b/crates/simulation/src/host.rs
@@ -1,4 +1,4 @@
-//! One database host: its cores, slots and waiting room, its connections, its start from cold, and what pushes it over.
+//! One database host: its cores, request slots and queue, its connections, its cold start, and its failure by overload.
 
 use crate::cpu::{Cpu, Ramp};
 use crate::load_window::LoadWindow;
@@ -7,108 +7,108 @@
 use crate::{seconds, HostId, Ns, SetId};
 use std::collections::VecDeque;
 
-/// Whether a host's machine and process run.
+/// State of a host's machine and process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// They do.
+    /// Machine and process run.
     Up,
-    /// The machine has vanished: no reset, no answer; what it held is lost.
+    /// The machine is gone: it sends neither resets nor answers, and its connections and requests are lost.
     Vanished,
-    /// The machine hangs: no reset, no answer; what it holds goes on when it comes back.
+    /// The machine hangs: it sends neither resets nor answers, and continues its requests when it resumes.
     Hung,
-    /// The process is dead, and its connections are reset; it fell over, or was struck.
+    /// The process is dead, because of overload or a fault, and its connections are reset.
     Down,
 }
 
-/// What a host says of itself when probed; as old as its last refresh.
+/// Load report that a host returns to a probe, as of its last refresh.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
-    /// Up to when it has applied all commits.
+    /// Time up to which the host has applied all commits.
     pub position: Ns,
-    /// Whether it is the primary.
+    /// Whether the host is the primary.
     pub primary: bool,
-    /// How busy its cores are, from 0 to 1.
+    /// Utilization of the cores, from 0 to 1.
     pub util: f64,
 }
 
 /// A database host.
 #[derive(Clone, Debug)]
 pub struct Host {
-    /// Which.
+    /// Identifies the host.
     pub id: HostId,
-    /// Its set.
+    /// Set of which the host is a member.
     pub set: SetId,
-    /// Whether it runs.
+    /// State of the machine and the process.
     pub state: State,
-    /// Grows with each start: connections of an earlier one are void.
+    /// Incremented at each start of the process; connections of an earlier epoch are invalid.
     pub epoch: u32,
-    /// When its process started; 0 for long ago.
+    /// Time at which the process started; 0 if it started before the run.
     pub started: Ns,
-    /// Its cores.
+    /// The host's cores and the jobs on them.
     pub cpu: Cpu,
-    /// Its copy of the log.
+    /// The thread that applies the set's log.
     pub applier: LogApplier,
-    /// What it holds.
+    /// Connections and requests at the host.
     pub held: HeldWork,
-    /// What is wrong with it.
+    /// Drain and faults in effect.
     pub condition: Condition,
-    /// What it says when probed.
+    /// Last load report.
     pub report: Report,
     window: LoadWindow,
     usage: Usage,
 }
 
-/// What a host holds: connections and requests.
+/// Connections and requests at a host.
 #[derive(Clone, Debug, Default)]
 pub struct HeldWork {
-    /// Connections open to it.
+    /// Number of open connections.
     pub connections: u32,
-    /// Requests in work.
+    /// Number of requests that occupy a slot.
     pub running: u32,
-    /// Jobs of the requests that wait for a slot, oldest first.
+    /// Job numbers of the requests that wait for a slot, oldest first.
     pub waiting: VecDeque<u64>,
-    /// Reads that wait for its copy to catch up.
+    /// Number of reads that wait for the host to apply the commits that they need.
     pub lagging: u32,
-    /// Long reads in work that stop its copy.
+    /// Number of running long reads that stop the applying of the log.
     pub blocking: u32,
 }
 
-/// What is wrong with a host.
+/// Drain and faults in effect at a host.
 #[derive(Clone, Debug)]
 pub struct Condition {
-    /// It finishes its work and takes nothing new.
+    /// Whether the host drains: it finishes its requests and rejects new ones.
     pub draining: bool,
-    /// It turns everything away.
+    /// Whether the host rejects all requests.
     pub refusing: bool,
-    /// Part of its answers that are errors.
+    /// Fraction of the answers that are errors.
     pub errors: f64,
-    /// Its process fell over, and stays down.
-    pub fallen: bool,
-    /// So many times slower, for each reason that lasts.
-    slow: f64,
+    /// Whether the process died of overload; it is not restarted then.
+    pub overloaded: bool,
+    /// Product of the slowdown factors of all faults in effect.
+    slowdown: f64,
 }
 
-/// What its cores and its applying thread had done at the last report.
+/// Work that the cores and the applying thread had done at the last report.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     reported_at: Ns,
-    /// Core time used, in nanoseconds of work.
+    /// CPU time used, in nanoseconds on one core.
     cpu_used: f64,
-    /// Time that the applying thread was busy, in nanoseconds.
+    /// Time for which the applying thread was busy, in nanoseconds.
     applier_busy: f64,
-    /// Cores that the applying thread has taken since the report before.
-    applying: f64,
+    /// Mean number of cores that the applying thread used in the last report interval.
+    applier_cores: f64,
 }
 
 impl Host {
-    /// A warm host.
+    /// Creates a running, warm host; `load_window` is the length of its load window.
     pub fn new(
         id: HostId,
         set: SetId,
         spec: &HostSpec,
         now: Ns,
         applier: LogApplier,
-        tip: Ns,
+        load_window: Ns,
     ) -> Self {
         Host {
             id,
@@ -123,72 +123,75 @@
                 draining: false,
                 refusing: false,
                 errors: spec.errors,
-                fallen: false,
-                slow: 1.0,
+                overloaded: false,
+                slowdown: 1.0,
             },
             report: Report::default(),
-            window: LoadWindow::new(tip),
+            window: LoadWindow::new(load_window),
             usage: Usage {
                 reported_at: now,
                 cpu_used: 0.0,
                 applier_busy: 0.0,
-                applying: 0.0,
+                applier_cores: 0.0,
             },
         }
     }
 
-    /// Requests that it holds.
+    /// Returns the number of requests at the host: running, queued for a slot, or waiting for the log.
     pub fn held_requests(&self) -> u32 {
         self.held.running + self.held.waiting.len() as u32 + self.held.lagging
     }
 
-    /// It has not warmed up since its start.
+    /// Returns whether the host has not yet warmed up since its last start.
     pub fn cold(&self, now: Ns) -> bool {
         now < self.cpu.ramp().end()
     }
 
-    /// What it can do now, in cores, whatever it holds.
-    pub fn can_do(&self, spec: &HostSpec, now: Ns) -> f64 {
-        spec.cores * self.cpu.ramp().at(now) / self.condition.slow
+    /// Returns the current capacity in cores, regardless of the number of requests and connections.
+    pub fn current_capacity(&self, spec: &HostSpec, now: Ns) -> f64 {
+        spec.cores * self.cpu.ramp().at(now) / self.condition.slowdown
     }
 
-    /// The highest load of any window as a multiple of what it could do then: in all, and while it was cold.
+    /// Returns the highest loads of the window as multiples of the capacity at the time: overall, and while cold.
     pub fn peaks(&self) -> (f64, f64) {
         (self.window.peak, self.window.cold_peak)
     }
 
-    /// Work arrives, taken or turned away: the load of the window that ends now.
-    pub fn offered(&mut self, spec: &HostSpec, now: Ns, work: Ns) -> f64 {
-        let (can, cold) = (self.can_do(spec, now), self.cold(now));
-        self.window.add(now, work as f64, can, cold)
+    /// Records work that arrives, accepted or rejected, and returns the load of the window that ends now, as a multiple
+    /// of the capacity.
+    pub fn record_offered_work(&mut self, spec: &HostSpec, now: Ns, work: Ns) -> f64 {
+        let (capacity, cold) = (self.current_capacity(spec, now), self.cold(now));
+        self.window.add(now, work as f64, capacity, cold)
     }
 
-    /// Slower by this factor, or by its inverse once that is over.
-    pub fn slow_by(&mut self, spec: &HostSpec, now: Ns, times: f64) {
-        self.condition.slow = (self.condition.slow * times).max(0.01);
-        self.retune(spec, now);
+    /// Multiplies the slowdown by `factor`: the factor of a fault when it begins, and its inverse when it ends.
+    pub fn multiply_slowdown(&mut self, spec: &HostSpec, now: Ns, factor: f64) {
+        self.condition.slowdown = (self.condition.slowdown * factor).max(0.01);
+        self.update_capacity(spec, now);
     }
 
-    /// What it holds has changed, and with it how efficient it is.
-    pub fn retune(&mut self, spec: &HostSpec, now: Ns) {
-        let crowd = (f64::from(self.held_requests()) / spec.cores - spec.crowded_from).max(0.0);
-        let crowded = (1.0 - spec.crowded_loss * crowd).max(0.25);
-        let table = 1.0
+    /// Recomputes the capacity, which depends on the numbers of requests and connections, on the applier's use of the
+    /// cores and on the slowdown. To be called after each change of these.
+    pub fn update_capacity(&mut self, spec: &HostSpec, now: Ns) {
+        let excess_per_core =
+            (f64::from(self.held_requests()) / spec.cores - spec.crowded_from).max(0.0);
+        let crowding_factor = (1.0 - spec.crowded_loss * excess_per_core).max(0.25);
+        let connection_factor = 1.0
             - spec.table_loss
                 * (f64::from(self.held.connections) / f64::from(spec.connections)).min(1.0);
         self.cpu.set_capacity(
             now,
-            spec.cores - self.usage.applying,
-            crowded * table / self.condition.slow,
+            spec.cores - self.usage.applier_cores,
+            crowding_factor * connection_factor / self.condition.slowdown,
         );
     }
 
-    /// Makes its report anew.
-    pub fn refresh(&mut self, spec: &HostSpec, now: Ns, position: Ns, primary: bool) {
-        let last = self.usage;
-        let time = (now - last.reported_at).max(1) as f64;
-        let util = ((self.cpu.used() - last.cpu_used) / time / spec.cores).clamp(0.0, 1.0);
-        self.usage.applying = ((self.applier.busy() - last.applier_busy) / time)
+    /// Refreshes the load report from the usage since the last one.
+    pub fn refresh_report(&mut self, spec: &HostSpec, now: Ns, position: Ns, primary: bool) {
+        let previous = self.usage;
+        let elapsed = (now - previous.reported_at).max(1) as f64;
+        let util = ((self.cpu.used() - previous.cpu_used) / elapsed / spec.cores).clamp(0.0, 1.0);
+        self.usage.applier_cores = ((self.applier.busy() - previous.applier_busy) / elapsed)
             .clamp(0.0, 1.0)
             .min(spec.cores * 0.9);
         self.usage.reported_at = now;
@@ -197,13 +200,13 @@
         self.report = Report {
             position,
             primary,
-            util: (util + self.usage.applying / spec.cores).min(1.0),
+            util: (util + self.usage.applier_cores / spec.cores).min(1.0),
         };
-        self.retune(spec, now);
+        self.update_capacity(spec, now);
     }
 
-    /// All that it held is lost.
-    pub fn lose_all(&mut self, now: Ns) {
+    /// Drops all connections and requests.
+    pub fn drop_all_work(&mut self, now: Ns) {
         self.cpu.clear(now);
         self.held.waiting.clear();
         self.held.running = 0;
@@ -211,9 +214,9 @@
         self.held.connections = 0;
     }
 
-    /// Its process starts, cold.
-    pub fn start(&mut self, spec: &HostSpec, now: Ns, part: f64, warm_in: Ns) {
-        self.lose_all(now);
+    /// Starts the process cold: with the fraction `start_share` of its capacity, which rises to all of it over `warm_up`.
+    pub fn start(&mut self, spec: &HostSpec, now: Ns, start_share: f64, warm_up: Ns) {
+        self.drop_all_work(now);
         self.state = State::Up;
         self.epoch += 1;
         self.started = now;
@@ -224,17 +227,17 @@
             now,
             Ramp {
                 start: now,
-                from: part,
-                length: warm_in,
+                from: start_share,
+                length: warm_up,
             },
         );
-        // What came before its start was work of another process.
+        // Work from before the start was offered to the previous process.
         self.window.clear();
-        self.retune(spec, now);
+        self.update_capacity(spec, now);
     }
 }
 
-/// The window's length.
-pub fn tip(seconds_long: f64) -> Ns {
-    seconds(seconds_long).max(1)
+/// Converts the length of the load window from seconds, with a minimum of 1 ns.
+pub fn load_window_length(length_s: f64) -> Ns {
+    seconds(length_s).max(1)
 }
--- a/crates/simulation/tests/clients.rs
+++ b/crates/simulation/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Arrivals, retries of clients, the front, and what a session knows of its writes.
+//! Arrivals of requests, retries of clients, the front layer, and the commits that a session's reads must observe.
 
 use irisrouter_simulation::clients::{
     Arrival, Arrivals, Clients, Finished, NextStep, Try, TryOutcome,
@@ -24,10 +24,10 @@
     let rate = all.len() as f64 / 200.0;
     assert!((rate / 400.0 - 1.0).abs() < 0.03, "{rate}");
     for (i, c) in spec.classes.iter().enumerate() {
-        let of = all.iter().filter(|a| a.class == i).count() as f64 / all.len() as f64;
+        let share = all.iter().filter(|a| a.class == i).count() as f64 / all.len() as f64;
         assert!(
-            (of / (c.share / 0.993) - 1.0).abs() < 0.12,
-            "{}: {of}",
+            (share / (c.share / 0.993) - 1.0).abs() < 0.12,
+            "{}: {share}",
             c.name
         );
     }
@@ -40,31 +40,31 @@
 
 #[test]
 fn traffic_surge_raises_its_sets_and_leaves_the_others() {
-    let mut flooded = spec();
-    flooded.faults = vec![Fault {
+    let mut surging = spec();
+    surging.faults = vec![Fault {
         flood: Some(TrafficSurge {
             sets: 1,
             part: ValueOrRange::Value(0.5),
         }),
         ..fault_between(50.0, 100.0)
     }];
-    let set = faults::plan(&flooded, 5)[0].sets[0];
+    let set = faults::plan(&surging, 5)[0].sets[0];
     let count = |s: &Spec, set: SetId, within: bool| {
         let inside = |a: &Arrival| (50 * SECOND..150 * SECOND).contains(&a.at) == within;
         Arrivals::new(s, 5)
             .filter(|a| a.set == set && inside(a))
             .count() as f64
     };
-    let calm = spec();
-    assert!((count(&flooded, set, true) / count(&calm, set, true) - 2.0).abs() < 0.25);
+    let baseline = spec();
+    assert!((count(&surging, set, true) / count(&baseline, set, true) - 2.0).abs() < 0.25);
     let other = SetId(1 - set.0);
-    assert!((count(&flooded, other, true) / count(&calm, other, true) - 1.0).abs() < 0.1);
+    assert!((count(&surging, other, true) / count(&baseline, other, true) - 1.0).abs() < 0.1);
 }
 
-fn fault_between(at: f64, long: f64) -> Fault {
+fn fault_between(at: f64, duration: f64) -> Fault {
     Fault {
         at_s: ValueOrRange::Value(at),
-        for_s: ValueOrRange::Value(long),
+        for_s: ValueOrRange::Value(duration),
         ..Fault::default()
     }
 }
@@ -93,7 +93,7 @@
     assert_eq!(
         c.finish_try(at, 1, 0, SECOND, TryOutcome::Failed),
         NextStep::Nothing,
-        "the first try is over"
+        "the first try has already ended"
     );
     let late = c.finish_try(
         SECOND + 900 * MS,
@@ -115,7 +115,7 @@
         ),
         "{late:?}"
     );
-    // Refused each time, it has never run: it comes again as often as clients do.
+    // A request that is rejected each time has never run, so it is retried up to the maximum number of retries.
     write(&mut c, 2);
     for number in 0..2 {
         let next = c.finish_try(
@@ -136,11 +136,15 @@
 }
 
 #[test]
-fn front_avoids_a_dead_gateway_once_it_has_noticed() {
+fn front_avoids_a_dead_gateway_after_the_detection_delay() {
     let mut c = Clients::new(&spec(), 5, 0);
     let t = write(&mut c, 1);
     c.set_gateway_state(SECOND, t.gateway, false);
-    assert_eq!(write(&mut c, 2).gateway, t.gateway, "it has not noticed");
+    assert_eq!(
+        write(&mut c, 2).gateway,
+        t.gateway,
+        "the front has not detected the failure yet"
+    );
     c.set_gateway_state(
         SECOND - Day::draw(&spec(), 5).clients.front_notice,
         t.gateway,
@@ -151,10 +155,10 @@
     assert_eq!(write(&mut c, 4).gateway, t.gateway);
 }
 
-/// A roaming session's read may come to another gateway before its write has been answered: then it carries nothing,
-/// and afterwards the commit goes with it wherever it comes.
+/// A read that roams may reach another gateway than the write of its session. It carries no commit as long as the write
+/// has not been answered, and carries the write's commit to every gateway afterwards.
 #[test]
-fn roaming_read_at_any_gateway_carries_what_its_session_knows() {
+fn roaming_read_at_any_gateway_carries_the_last_commit_of_its_session() {
     let mut c = Clients::new(
         &Spec {
             gateways: 8,
@@ -167,8 +171,8 @@
     let read = |call| Arrival {
         class: 1,
         key: None,
-        roams: true,
-        pick: call,
+        may_roam: true,
+        random_number: call,
         call,
         ..t.arrival
     };
@@ -191,14 +195,14 @@
     assert!(
         later.iter().any(|r| r.gateway != t.gateway) && later.iter().all(|r| r.mark == SECOND + MS)
     );
-    let stays = c.first_try(
+    let bound_read = c.first_try(
         2 * SECOND,
         Arrival {
-            roams: false,
+            may_roam: false,
             ..read(80)
         },
     );
-    assert_ne!(stays.mark, 0);
+    assert_ne!(bound_read.mark, 0);
 }
 
 #[test]
@@ -214,7 +218,7 @@
     assert_eq!(
         c.first_try(SECOND, read).mark,
         0,
-        "its write has not been answered"
+        "the write has not been answered yet"
     );
     c.finish_try(
         2 * SECOND,
--- a/crates/simulation/tests/endpoint_list.rs
+++ b/crates/simulation/tests/endpoint_list.rs
@@ -1,11 +1,11 @@
-//! The host list: the order of notices, and the silence of discovery.
+//! The endpoint list: the order of notifications, and silent discovery.
 
 use irisrouter_simulation::endpoint_list::{EndpointList, ListedState};
 use irisrouter_simulation::spec::ListSpec;
 use irisrouter_simulation::{seconds, GatewayId, HostId, SetId, SECOND};
 
 #[test]
-fn notice_that_is_older_or_comes_in_silence_does_not_change_the_view() {
+fn notification_that_is_older_or_withheld_does_not_change_the_view() {
     let spec = ListSpec::default();
     let mut l = EndpointList::new(&spec, 1, 2, [(HostId(0), SetId(0))].into_iter());
     let first = l.announce(0, HostId(0), SetId(0), ListedState::Draining, 0, false);
@@ -23,7 +23,10 @@
         .all(|t| t.at >= seconds(1.1) && t.at <= seconds(4.7 + 0.38)));
     let g = GatewayId(0);
     assert!(l.deliver(5 * SECOND, g, second[0].entry));
-    assert!(!l.deliver(6 * SECOND, g, first[0].entry), "it is older");
+    assert!(
+        !l.deliver(6 * SECOND, g, first[0].entry),
+        "the entry is older"
+    );
     assert_eq!(l.drain_notice_time(g, HostId(0)), None);
     l.set_silent(true);
     let gone = l.announce(
@@ -39,8 +42,8 @@
         (l.drain_notice_time(g, HostId(0)), l.view(g).version),
         (None, 2)
     );
-    let kept = l.set_silent(false);
-    assert_eq!(kept.len(), 1);
-    assert!(l.deliver(20 * SECOND, kept[0].0, kept[0].1));
+    let withheld = l.set_silent(false);
+    assert_eq!(withheld.len(), 1);
+    assert!(l.deliver(20 * SECOND, withheld[0].0, withheld[0].1));
     assert_eq!(l.drain_notice_time(g, HostId(0)), Some(20 * SECOND));
 }
