--- a/tests/gateway/cancellation.rs
+++ b/tests/gateway/cancellation.rs
@@ -1,4 +1,4 @@
-//! Clients that leave or cancel: what happens to their queries and upstream connections.
+//! Clients that disconnect or send a cancel request: the effect on their queries and upstream connections.
 
 use crate::harness::discovery::Discovery;
 use crate::harness::gateway::Gateway;
@@ -8,25 +8,30 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Completes a connection whose client has left meanwhile, and checks that the first query on it is that of another client.
+/// Completes the upstream connection that was opened for a client which has disconnected since, and checks that the
+/// first query sent on it belongs to another client.
 fn assert_only_the_next_request_is_sent(gateway: &Gateway, mut late: TcpStream) {
     send_authentication_ok(&mut late);
     let mut other = gateway.client();
     // The connection has to be idle in the pool before it can serve the next request.
     std::thread::sleep(Duration::from_millis(50));
     other.send(&read_query_message("2222"));
-    let seen = read_query(&mut late).expect("the connection is used again");
+    let seen = read_query(&mut late).expect("a query on the reused connection");
     assert!(
         seen.contains("id=2222"),
-        "sent for a client that had gone: {seen}"
+        "query sent for a disconnected client: {seen}"
     );
 }
 
-/// Sends a cancel request on a connection of its own, and waits for the end of that.
+/// Sends a cancel request on a separate connection, and waits until the gateway closes that connection.
 fn send_cancel_request(gateway: &Gateway, key: &[u8]) {
     let mut client = gateway.connect();
     client.send(&[&[0, 0, 0, 16, 0x04, 0xd2, 0x16, 0x2e], key].concat());
-    assert_eq!(client.read_until_ready(), "closed", "nothing is said to it");
+    assert_eq!(
+        client.read_until_ready(),
+        "closed",
+        "a cancel request gets no response"
+    );
 }
 
 #[test]
@@ -62,8 +67,8 @@
     assert!(!host.statements()[1].starts_with(&format!("{connection}:")));
 }
 
-/// Guards against attempts whose connection is established after their client has left, where the settings do not allow
-/// attempts to be cancelled.
+/// Guards against sending a request whose upstream connection is established only after its client has disconnected,
+/// when the settings do not allow attempts to be cancelled.
 #[test]
 fn request_is_not_sent_when_client_leaves_during_connect() {
     let manual_host = ManualHost::start();
@@ -77,7 +82,7 @@
     assert_only_the_next_request_is_sent(&gateway, late);
 }
 
-/// Guards against a client's end of connection that is missed because it is behind more bytes than the gateway reads ahead.
+/// Guards against missing the disconnect of a client that has sent more bytes than the gateway reads ahead.
 #[test]
 fn client_that_leaves_behind_unread_input_is_detected() {
     let manual_host = ManualHost::start();
@@ -95,39 +100,44 @@
     assert_only_the_next_request_is_sent(&gateway, late);
 }
 
-/// Guards against cancel requests that are dropped, that end another query than the open one, or after which an attempt
-/// still starts.
+/// Guards against cancel requests that are ignored, that end a query of another client, or that do not stop the
+/// cancelled query from being sent to a host.
 #[test]
 fn cancel_request_ends_the_open_query_of_its_key_and_no_other() {
     let manual_host = ManualHost::start();
     let discovery = Discovery::start(vec![manual_host.entry("in_service")]);
     let gateway = manual_host.start_gateway_without_health_checks(&discovery);
-    let mut one = gateway.client();
-    let mut two = gateway.client();
+    let mut first = gateway.client();
+    let mut second = gateway.client();
     assert!(
-        one.cancel_key.len() == 8 && two.cancel_key.len() == 8 && one.cancel_key != two.cancel_key
+        first.cancel_key.len() == 8
+            && second.cancel_key.len() == 8
+            && first.cancel_key != second.cancel_key
     );
-    // Between two queries a cancel request ends neither.
-    send_cancel_request(&gateway, &one.cancel_key);
-    assert!(one.query("").starts_with("Empty"));
-    one.send(&read_query_message("1111"));
+    // A cancel request that arrives while no query is open has no effect.
+    send_cancel_request(&gateway, &first.cancel_key);
+    assert!(first.query("").starts_with("Empty"));
+    first.send(&read_query_message("1111"));
     let late = manual_host.accept();
-    two.send(&read_query_message("3333"));
+    second.send(&read_query_message("3333"));
     let mut other = manual_host.accept();
-    let wrong: Vec<u8> = one.cancel_key.iter().map(|b| b ^ 1).collect();
+    let wrong: Vec<u8> = first.cancel_key.iter().map(|b| b ^ 1).collect();
     (0..50).for_each(|_| send_cancel_request(&gateway, &wrong));
-    send_cancel_request(&gateway, &one.cancel_key);
-    let answer = one.read_until_ready();
+    send_cancel_request(&gateway, &first.cancel_key);
+    let answer = first.read_until_ready();
     assert!(
         answer.contains("C57014") && answer.ends_with("ReadyForQuery"),
         "{answer}"
     );
     // The other query is still open, and the cancelled one is never sent.
     send_authentication_ok(&mut other);
-    let seen = read_query(&mut other).expect("the request of the other");
+    let seen = read_query(&mut other).expect("the query of the second client");
     assert!(seen.contains("id=3333"), "{seen}");
     assert_only_the_next_request_is_sent(&gateway, late);
-    assert!(one.query("").starts_with("Empty"), "the connection goes on");
+    assert!(
+        first.query("").starts_with("Empty"),
+        "the client's connection stays usable"
+    );
     for broken in [
         &b"\0\0\0\x08\x04\xd2\x16\x2e"[..],
         b"\0\0\0\x18\x04\xd2\x16\x2e0123456789abcdef",
@@ -140,7 +150,8 @@
     }
 }
 
-/// Guards against a cancel request that leaves its attempt running where attempts can be cancelled.
+/// Guards against an attempt that keeps running after its query was cancelled, when the settings allow attempts to be
+/// cancelled.
 #[test]
 fn cancelled_query_in_flight_ends_its_attempt() {
     let host = Host::start("s-1", true, |_, _| HostReply::NoReply);
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration file at the start and on SIGHUP.
+//! The configuration file, as read at startup and after SIGHUP.
 
 use crate::harness::client::Client;
 use crate::harness::discovery::{Discovery, EndpointList};
@@ -8,8 +8,8 @@
 use insta::assert_snapshot;
 use serde_json::{json, Value};
 
-/// Guards against a SIGHUP that ends the process, that cuts off requests, or that leaves the gateway with the old discovery
-/// server or with the older list of a new one.
+/// Guards against a SIGHUP that ends the process, interrupts requests, keeps the old discovery server, or applies an
+/// older list from the new one.
 #[test]
 fn reload_with_a_new_discovery_address_fetches_the_whole_list_and_keeps_newer_drains() {
     let one = Host::start("s-1", true, no_reply_to_slow);
@@ -24,7 +24,8 @@
     busy.send(&slow_query_message(4_000));
     one.wait_for_event("slow");
 
-    // The environment still names the old address: the file wins. Its `known` is older than what discovery has published.
+    // The environment still names the old address, but the configuration file takes precedence. The `known` list of the
+    // file is older than the list that discovery has published.
     let mut config = gateway.config.clone();
     config["discovery"] = json!(new.address.to_string());
     config["known"]["members"] = both("in_service");
@@ -45,10 +46,10 @@
     assert_eq!(
         two.statements().len(),
         before,
-        "a drain undone by an older list"
+        "an older list must not undo a drain"
     );
 
-    // Neither an invalid file nor the old discovery server changes anything from here on.
+    // From here on, neither an invalid file nor the old discovery server has any effect.
     old.set(9, EndpointList::Members(json!([])));
     for unusable in ["{", "", "{}"] {
         gateway.reload(unusable);
@@ -61,7 +62,7 @@
     }
     assert!(
         busy.read_until_ready().contains("XX000"),
-        "its time was over, and no earlier"
+        "rejected at its deadline and not before"
     );
 
     gateway.signal("-TERM");
@@ -72,7 +73,8 @@
     assert_eq!(gateway.exit_code(), Some(0));
 }
 
-/// Variants of a valid configuration that must be rejected. Each names another discovery server as well.
+/// Variants of a valid configuration that must be rejected. Each also names another discovery server, so that the test
+/// can tell whether any part of it was applied.
 fn invalid_files(good: &Value, discovery: &Discovery) -> Vec<String> {
     let invalid = |path: &str, value: Value| {
         let mut config = good.clone();
@@ -85,7 +87,7 @@
         }
         config.to_string()
     };
-    let whole = good.to_string();
+    let valid_text = good.to_string();
     vec![
         invalid("/settings/Classes/0/DeadlineNs", json!(0)),
         invalid("/settings/Classes/3/DeadlineNs", json!(-5)),
@@ -97,13 +99,13 @@
         invalid("/settings", json!(null)),
         invalid("/listen", json!(null)),
         invalid("/limits", json!(null)),
-        whole[..whole.len() / 2].to_string(),
+        valid_text[..valid_text.len() / 2].to_string(),
         String::new(),
     ]
 }
 
-/// Guards against new settings that wait for a restart, that move an open request to another class, or that are applied
-/// in part where a file is invalid.
+/// Guards against new settings that take effect only after a restart, that change the class of an open request, or that
+/// are applied in part when the file is invalid.
 #[test]
 fn reload_applies_settings_to_new_requests_and_ignores_invalid_files() {
     let script = |_, text: &str| {
@@ -142,13 +144,13 @@
     let (attempts, answer) = count_attempts(&mut client, "new");
     assert!(
         attempts == 2 && answer.contains("C53300"),
-        "as often as is allowed now: {attempts} {answer}"
+        "attempt limit of the new settings: {attempts} {answer}"
     );
     assert!(client
         .query(&statement("order", 9_000))
         .contains("an unknown class"));
 
-    // The server that these files name must not be called.
+    // The discovery server that the invalid files name must not be called.
     let unused_discovery = Discovery::start(vec![]);
     let files = invalid_files(&good, &unused_discovery);
     for (n, file) in files.iter().enumerate() {
@@ -165,12 +167,13 @@
     assert_eq!(
         count_attempts(&mut client, "new").0,
         2,
-        "the last good file holds, whole"
+        "the last valid file stays in effect as a whole"
     );
     unused_discovery
         .requests
         .update(|c| assert!(c.is_empty(), "{c:?}"));
-    // The class has a deadline of 0.3 s now, and the open request keeps the deadline that its class had.
+    // The new settings give the class a deadline of 0.3 s, but the open request keeps the deadline with which it
+    // started.
     assert!(client
         .query(&statement("once", 9_000).replace("7f3a", "slow"))
         .starts_with("ErrorResponse"));
@@ -182,9 +185,9 @@
 
 #[test]
 fn invalid_configuration_is_reported_and_ends_the_start() {
-    let whole = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": base_settings()});
+    let valid = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "1", "settings": base_settings()});
     let with_value = |key: &str, value: Value| {
-        let mut config = whole.clone();
+        let mut config = valid.clone();
         config[key] = value;
         config.to_string()
     };
--- a/tests/gateway/console.rs
+++ b/tests/gateway/console.rs
@@ -6,8 +6,8 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Guards against connections that send nothing or too much: the console has few places, and other callers wait for an
-/// answer.
+/// Guards against connections that send nothing or too much: the console allows few connections, and such a connection
+/// would keep other callers waiting.
 #[test]
 fn console_answers_every_call_when_other_connections_are_silent() {
     let discovery = Discovery::start(vec![]);
@@ -27,6 +27,6 @@
     let left = silent.iter_mut().map(|s| s.read(&mut [0]));
     assert!(
         left.into_iter().all(|end| !matches!(end, Ok(1))),
-        "half a call has no answer, and an end"
+        "an incomplete call is closed without an answer"
     );
 }
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -1,4 +1,4 @@
-//! The endpoint list: polls, changes, drains, and a discovery server that is silent or breaks off.
+//! The endpoint list: polls, changes, drains, and a discovery server that stays silent or breaks off its response.
 
 use crate::harness::client::Client;
 use crate::harness::discovery::{write_response, Discovery, EndpointList};
@@ -14,12 +14,13 @@
 use std::net::{Shutdown, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Longest time from a drain in discovery until the gateway knows it, even if a connection to discovery hangs.
-const DRAIN_NOTICE_LIMIT: Duration = Duration::from_secs(6);
+/// Maximum time from the publication of a drain by discovery until the gateway applies it, even if a connection to
+/// discovery hangs.
+const DRAIN_DETECTION_LIMIT: Duration = Duration::from_secs(6);
 
-/// Runs a gateway with two hosts, of which discovery drains the second once `before_drain` has returned. Returns the time
-/// until the gateway knew, and checks that it sends the drained host nothing more.
-fn time_until_drain_is_known(script: ResponseScript, before_drain: fn(&Discovery)) -> Duration {
+/// Runs a gateway with two hosts; discovery drains the second once `before_drain` has returned. Returns the time from
+/// the drain until the gateway has received it, and checks that the drained host gets no further requests.
+fn measure_drain_detection(script: ResponseScript, before_drain: fn(&Discovery)) -> Duration {
     let one = Host::start("s-1", true, reply_with_row);
     let two = Host::start("s-2", false, reply_with_row);
     let both = |phase: &str| json!([one.entry("in_service", 0), two.entry(phase, 0)]);
@@ -30,7 +31,7 @@
     before_drain(&discovery);
     let drained = Instant::now();
     list.update(|l| *l = endpoint_list_body(3, both("terminating")));
-    // The poll that follows the one whose answer held the drain.
+    // The gateway sends this poll once it has received the list that holds the drain.
     discovery.wait_for_request("from=3&");
     let took = drained.elapsed();
     let seen = two.statements().len();
@@ -40,7 +41,7 @@
     assert_eq!(
         two.statements().len(),
         seen,
-        "nothing new to one that drains"
+        "no new request to a draining host"
     );
     took
 }
@@ -50,15 +51,16 @@
     discovery.wait_for_request("from=2&hold_ms=2");
 }
 
-/// Sends all of a list that would put the drained host back into service, and a reset in place of the end of connection.
-fn reset_behind_a_wrong_list(request: ScriptedRequest<'_>) {
+/// Sends a complete list that would put the drained host back into service, but resets the connection instead of
+/// closing it.
+fn send_wrong_list_then_reset(request: ScriptedRequest<'_>) {
     let stream = request.stream;
     let in_service = request.body.replace("terminating", "in_service");
     let newer = ["2", "3"].iter().fold(in_service, |list, revision| {
         list.replace(&format!("\"revision\": {revision}"), "\"revision\": 9")
     });
     let _ = write!(stream, "HTTP/1.1 200 OK\r\n\r\n{newer}");
-    // Gives the gateway time to read it: a reset discards what is unread.
+    // Gives the gateway time to read the list, because a reset discards data that is still unread.
     std::thread::sleep(Duration::from_millis(50));
     socket2::SockRef::from(&*stream)
         .set_linger(Some(Duration::ZERO))
@@ -82,7 +84,7 @@
     assert_eq!(
         two.statements().len(),
         before,
-        "nothing new to one that drains"
+        "no new request to a draining host"
     );
     discovery.requests.update(|c| {
         assert!(
@@ -104,7 +106,7 @@
     assert!(first.contains("from=2&"), "{first}");
     assert!(client.query(&statement("read", 9_000)).contains("a1b2"));
     assert_eq!(two.statements().len(), before);
-    // The host restarts at another address: the old connections are of no use.
+    // The host restarts at another address: connections to the old address must not be used.
     let three = Host::start("s-1", true, |_, _| HostReply::Row("new"));
     discovery.publish(EndpointList::Members(json!([
         three.entry("in_service", 1_700_000_000_000u64)
@@ -115,7 +117,7 @@
 #[test]
 fn gateway_serves_from_its_known_list_when_discovery_is_silent() {
     let host = Host::start("s-1", true, reply_with_row);
-    // Discovery has no newer list, and so does not answer.
+    // Discovery has no newer list, so it does not answer the poll.
     let discovery = Discovery::start(vec![]);
     let gateway = Gateway::start(&discovery, &[&host]);
     assert!(gateway
@@ -126,7 +128,7 @@
         .requests
         .wait_for("a call", |c| c.first().cloned());
     assert!(call.contains("from=1&hold_ms="), "{call}");
-    // The gateway gives the poll up and repeats it on a new connection.
+    // The gateway abandons the poll and repeats it on a new connection.
     let again = discovery
         .requests
         .wait_for("a second call", |c| c.get(1).cloned());
@@ -150,13 +152,13 @@
         .contains("a1b2"));
 }
 
-/// Guards against poll durations, timeouts and retry delays that add up to more than the limit: the long poll of the first
-/// connection is never answered, and neither is the first request of the second one.
+/// Guards against poll durations, timeouts and retry delays that together exceed the limit: neither the long poll on
+/// the first connection nor the first request on the second one gets a complete answer.
 #[test]
 fn drain_is_known_within_six_seconds_when_a_long_poll_is_silent() {
-    let took = time_until_drain_is_known(
+    let took = measure_drain_detection(
         |request| match request.connection {
-            // The start of a response, and nothing after it.
+            // Sends only the beginning of a response.
             1 if request.path.contains("hold_ms=2") => {
                 let _ = request.stream.write_all(b"HTTP/1.1 200 OK\r\nContent-");
             }
@@ -167,15 +169,16 @@
         },
         wait_for_long_poll,
     );
-    assert!(took < DRAIN_NOTICE_LIMIT, "{took:?}");
+    assert!(took < DRAIN_DETECTION_LIMIT, "{took:?}");
 }
 
-/// Guards against a response without a length that is never used, and against a reset that is taken for its end.
+/// Guards against ignoring a response without Content-Length, and against taking a connection reset for the end of such
+/// a response.
 #[test]
-fn list_without_a_length_is_complete_at_its_end_and_not_at_a_reset() {
-    let took = time_until_drain_is_known(
+fn list_without_content_length_is_complete_at_end_of_connection_but_not_at_reset() {
+    let took = measure_drain_detection(
         |request| match request.connection {
-            2 if request.path.contains("hold_ms=2") => reset_behind_a_wrong_list(request),
+            2 if request.path.contains("hold_ms=2") => send_wrong_list_then_reset(request),
             _ => {
                 let _ = write!(request.stream, "HTTP/1.1 200 OK\r\n\r\n{}", request.body);
                 let _ = request.stream.shutdown(Shutdown::Both);
@@ -183,16 +186,17 @@
         },
         |_| {},
     );
-    assert!(took < DRAIN_NOTICE_LIMIT, "{took:?}");
+    assert!(took < DRAIN_DETECTION_LIMIT, "{took:?}");
 }
 
-/// Guards against polls of discovery that find no descriptor once idle clients hold all that they may.
+/// Guards against discovery polls that fail for lack of a descriptor while idle clients hold all descriptors allotted
+/// to clients.
 #[test]
 fn discovery_and_requests_get_descriptors_when_idle_clients_hold_the_rest() {
     let one = Host::start("s-1", true, reply_with_row);
     let two = Host::start("s-2", false, reply_with_row);
     let both = |phase: &str| json!([one.entry("in_service", 0), two.entry(phase, 0)]);
-    // An address at which nobody listens yet.
+    // An address at which no server listens yet.
     let placeholder = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = placeholder.local_addr().unwrap();
     drop(placeholder);
@@ -203,7 +207,7 @@
     let gateway = Gateway::start_with_config(&unreachable, &[&one, &two], |config| {
         config["limits"]["sockets"] = json!(140)
     });
-    // More clients than the gateway may hold: half of them send nothing, the others start a session and stay idle.
+    // More clients than the connection limit: half of them send nothing, the others start a session and stay idle.
     let idle: Vec<Client> = (0..160)
         .map(|n| {
             let mut client = gateway.connect();
@@ -218,7 +222,7 @@
             .accepted_client()
             .query(&statement("read", 9_000))
             .contains("a1b2"),
-        "work is served"
+        "requests are served"
     );
     let listener = TcpListener::bind(address).unwrap();
     let body = endpoint_list_body(3, both("terminating"));
@@ -234,7 +238,7 @@
     write_response(&mut stream, &body).unwrap();
     assert!(read_request().contains("from=3&"));
     assert!(
-        reachable_since.elapsed() < DRAIN_NOTICE_LIMIT,
+        reachable_since.elapsed() < DRAIN_DETECTION_LIMIT,
         "{:?}",
         reachable_since.elapsed()
     );
--- a/tests/gateway/drains.rs
+++ b/tests/gateway/drains.rs
@@ -12,7 +12,8 @@
 use std::io::Read;
 use std::time::Duration;
 
-/// Guards against clients that are kept or cut off while a gateway is drained, and against a gateway that stays drained.
+/// Guards against a gateway drain that keeps clients connected or interrupts their requests, and against a gateway that
+/// cannot be activated again.
 #[test]
 fn evacuated_gateway_closes_clients_after_their_answers_until_activated() {
     let host = Host::start("s-1", true, |_, text| {
@@ -37,13 +38,13 @@
     new.read_until_ready();
     assert!(
         new.read_until_ready().contains("a1b2"),
-        "what still comes is served"
+        "requests of new clients are still served"
     );
     assert_eq!(new.read_until_ready(), "closed");
     assert_eq!(idle.read_until_ready(), "closed");
     assert!(
         busy.read_until_ready().contains("a1b2"),
-        "what is under way is finished"
+        "the open request is finished"
     );
     assert_snapshot!(busy.read_until_ready(), @r"
     ErrorResponse SERROR VERROR C57P03 Mclients are sent away
@@ -61,7 +62,8 @@
     assert_eq!(gateway.exit_code(), Some(0));
 }
 
-/// Guards against closing a connection with unread input: that resets it, and discards the last answer.
+/// Guards against closing a connection that has unread input: the close would reset the connection and discard the last
+/// answer.
 #[test]
 fn connection_closed_by_the_gateway_reads_crossing_input_without_a_reset() {
     let host = Host::start("s-1", true, reply_with_row);
@@ -71,21 +73,27 @@
     assert!(idle.query(&statement("once", 9_000)).contains("a1b2"));
     gateway.call_console("evacuate\n");
     assert_eq!(idle.read_until_ready(), "closed");
-    // The gateway has closed its side; meanwhile more than a buffer of input arrives.
+    // The gateway has closed its sending side; now the client sends more than one buffer of input.
     let before = host.statements().len();
     for _ in 0..20 {
         idle.send(&read_query_message("1111").repeat(40));
         std::thread::sleep(Duration::from_millis(2));
     }
-    assert_eq!(idle.stream.read(&mut [0]).expect("an end and no reset"), 0);
+    assert_eq!(
+        idle.stream
+            .read(&mut [0])
+            .expect("end of connection, not a reset"),
+        0
+    );
     assert_eq!(
         host.statements().len(),
         before,
-        "what came behind the end is not sent on"
+        "input received after the close is not forwarded"
     );
 }
 
-/// Guards against health checks that are decided on before a drain and get their connection after it.
+/// Guards against a health check that was scheduled before its host drained, and whose connection is established
+/// afterwards.
 #[test]
 fn health_check_is_not_sent_when_its_host_drains_during_connect() {
     let manual_host = ManualHost::start();
@@ -94,7 +102,7 @@
         config["known"]["members"] = json!([manual_host.entry("in_service")]);
         config["settings"]["Bounds"]["ConnectTimeoutNs"] = json!(20_000_000_000u64);
     });
-    // A write without a known primary: all hosts are checked.
+    // A write while the primary is unknown makes the gateway check all hosts.
     let mut client = gateway.client();
     client.send(&query_message(&statement("order", 9_000)));
     let mut late = manual_host.accept();
@@ -105,6 +113,6 @@
     assert_eq!(
         read_query(&mut late),
         None,
-        "something new to a host that drains"
+        "no health check to a draining host"
     );
 }
--- a/tests/gateway/harness/client.rs
+++ b/tests/gateway/harness/client.rs
@@ -8,7 +8,7 @@
 /// A client's connection to the gateway.
 pub struct Client {
     pub stream: TcpStream,
-    /// The body of BackendKeyData, with which the client's query can be cancelled; empty before it has come.
+    /// The body of BackendKeyData, which identifies the session in a cancel request; empty until it is received.
     pub cancel_key: Vec<u8>,
 }
 
--- a/tests/gateway/harness/discovery.rs
+++ b/tests/gateway/harness/discovery.rs
@@ -10,11 +10,12 @@
 pub enum EndpointList {
     /// A list with these members.
     Members(Value),
-    /// Something that is no JSON.
+    /// Text that is not valid JSON.
     Malformed,
 }
 
-/// An endpoint list with its revision. Revision 0 is newer than no request's, so that the server stays silent.
+/// An endpoint list with its revision. With revision 0 the server never answers, because no request asks for an older
+/// list.
 pub struct PublishedList {
     pub revision: u64,
     pub list: EndpointList,
@@ -24,7 +25,7 @@
 pub struct Discovery {
     pub address: SocketAddr,
     pub published: Monitor<PublishedList>,
-    /// The path of each request, with its connection's number.
+    /// The path of each request, preceded by the sequence number of its connection.
     pub requests: Monitor<Vec<String>>,
 }
 
@@ -61,13 +62,13 @@
         discovery
     }
 
-    /// Sets the list and its revision, and waits for nothing.
+    /// Sets the list and its revision without waiting for the gateway.
     pub fn set(&self, revision: u64, list: EndpointList) {
         self.published
             .update(|published| *published = PublishedList { revision, list });
     }
 
-    /// Publishes a list as the next revision, and waits until the gateway has taken it and polls for a newer one.
+    /// Publishes a list as the next revision, and waits until the gateway has received it and polls for a newer one.
     pub fn publish(&self, list: EndpointList) {
         let revision = self.published.update(|published| {
             let revision = published.revision + 1;
@@ -86,7 +87,7 @@
     }
 }
 
-/// Answers the requests of one connection until it ends, which is reported as `None`.
+/// Answers the requests of one connection. Returns `None` once the connection has ended.
 fn serve(
     stream: TcpStream,
     number: usize,
@@ -103,7 +104,8 @@
         let known_revision = path.split_once("from=").map_or(0, |(_, rest)| {
             rest.split('&').next().unwrap().parse().unwrap()
         });
-        // A long poll waits for a newer list; one that waits in vain is never answered, and the gateway has to give it up.
+        // A long poll waits for a newer list. It is never answered if no newer list is published, so that the gateway
+        // has to abandon it.
         let body = published.wait_for("a newer list", |published| {
             (published.revision > known_revision).then(|| body_of(published))
         });
--- a/tests/gateway/harness/gateway.rs
+++ b/tests/gateway/harness/gateway.rs
@@ -1,4 +1,4 @@
-//! The program under test as a process, and what its platform passes on to it.
+//! The program under test as a process, and the socket and directory that its platform passes on to it.
 
 use super::client::Client;
 use super::discovery::Discovery;
@@ -17,7 +17,7 @@
 
 /// The program under test.
 const PROGRAM: &str = env!("CARGO_BIN_EXE_irisrouter");
-/// Pause between two looks at the gateway's counters.
+/// Interval between two queries of the gateway's counters.
 const COUNTER_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// The settings of a small deployment.
@@ -100,14 +100,14 @@
     command
 }
 
-/// How a program ended that did not start to serve.
+/// Exit code and standard error of a program that failed to start.
 pub struct StartupFailure {
     pub exit_code: Option<i32>,
     /// Its standard error, with the path of its configuration file replaced by `CONFIG`.
     pub stderr: String,
 }
 
-/// Starts the program with a configuration that it refuses.
+/// Starts the program with a configuration that it rejects, and waits for its exit.
 pub fn start_with_invalid_config(config: &str) -> StartupFailure {
     let (child, path) = launch(config, None, None);
     let output = child.wait_with_output().unwrap();
@@ -119,7 +119,7 @@
     }
 }
 
-/// A gateway that serves.
+/// A running gateway that accepts clients.
 pub struct Gateway {
     child: Child,
     pub address: SocketAddr,
@@ -130,7 +130,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway that knows these hosts as in service.
+    /// Starts a gateway whose `known` list has these hosts in service.
     pub fn start(discovery: &Discovery, hosts: &[&Host]) -> Self {
         Self::start_with_config(discovery, hosts, |_| {})
     }
@@ -144,7 +144,7 @@
         Self::start_with_socket(None, discovery, hosts, adjust)
     }
 
-    /// Starts a gateway, with the clients' socket as its platform passes it on if there is one.
+    /// Starts a gateway. If `socket` is given, the gateway inherits it as the clients' listening socket.
     pub fn start_with_socket(
         socket: Option<&InheritedSocket>,
         discovery: &Discovery,
@@ -165,7 +165,7 @@
                 .map_while(Result::ok)
                 .for_each(|line| collected.update(|log| log.push(line)))
         });
-        let address = log.wait_for("the address", |log| address_behind(log, "listens on "));
+        let address = log.wait_for("the address", |log| address_after(log, "listens on "));
         Gateway {
             child,
             address,
@@ -178,7 +178,7 @@
     /// The address at which the console listens.
     pub fn console_address(&self) -> SocketAddr {
         self.log
-            .wait_for("the console", |log| address_behind(log, "operators call "))
+            .wait_for("the console", |log| address_after(log, "operators call "))
     }
 
     /// Sends these bytes to the console and returns its answer.
@@ -204,7 +204,7 @@
         });
     }
 
-    /// Asks for the counters until a line of them contains this text.
+    /// Queries the counters until a line of them contains this text.
     pub fn wait_for_counter(&self, text: &str) {
         let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
@@ -216,7 +216,10 @@
             if counted {
                 return;
             }
-            assert!(Instant::now() < deadline, "never counted: {text}");
+            assert!(
+                Instant::now() < deadline,
+                "no counter line contains: {text}"
+            );
         }
     }
 
@@ -227,7 +230,7 @@
         client
     }
 
-    /// The first new client that is not turned away.
+    /// Connects until a client is accepted, and returns that client.
     pub fn accepted_client(&self) -> Client {
         loop {
             let mut client = self.connect();
@@ -265,8 +268,8 @@
     }
 }
 
-/// The address at the end of the first log line that holds one behind this text.
-fn address_behind(log: &[String], text: &str) -> Option<SocketAddr> {
+/// The address that follows this text at the end of a log line, from the first line that has one.
+fn address_after(log: &[String], text: &str) -> Option<SocketAddr> {
     log.iter()
         .find_map(|line| line.rsplit_once(text)?.1.parse().ok())
 }
--- a/tests/gateway/harness/host.rs
+++ b/tests/gateway/harness/host.rs
@@ -33,7 +33,8 @@
     CloseConnection,
 }
 
-/// A script: the reply to a statement, by the statement's number on this host (from 0) and its text.
+/// A script: returns the reply to a statement, given the statement's sequence number on this host (from 0) and its
+/// text.
 pub type ReplyScript = fn(usize, &str) -> HostReply;
 
 /// Replies to every statement with the row `a1b2`.
@@ -54,7 +55,7 @@
 pub struct Host {
     pub id: &'static str,
     pub address: SocketAddr,
-    /// A line for each statement, and for each end of a connection, with the connection's number.
+    /// A line for each statement and for each closed connection, preceded by the sequence number of the connection.
     pub events: Monitor<Vec<String>>,
     /// The role that the host reports.
     pub is_primary: Monitor<bool>,
@@ -99,7 +100,7 @@
             "phase": phase, "size": 1.0, "up_since_ms": started_ms})
     }
 
-    /// The statements received so far, without the ends of connections.
+    /// The statements received so far, without the lines for closed connections.
     pub fn statements(&self) -> Vec<String> {
         self.events.update(|events| {
             let statements = events.iter().filter(|line| line.contains("FROM"));
@@ -115,7 +116,7 @@
         });
     }
 
-    /// Lets paused rows go on.
+    /// Makes the host send the second half of its paused rows.
     pub fn resume(&self) {
         self.events
             .update(|events| events.push(RESUME_EVENT.into()));
@@ -172,7 +173,7 @@
 
     fn answer_statement(&mut self, text: &str) -> Option<()> {
         let is_primary = self.is_primary.update(|value| *value);
-        let received = format!("{}: {}", self.number, without_wait(text));
+        let received = format!("{}: {}", self.number, with_wait_blanked(text));
         self.record(received);
         let statement_number = self
             .statement_count
@@ -221,7 +222,7 @@
     message(b'Z', b"I")
 }
 
-/// A whole reply with a row of one column and the host's role.
+/// A complete reply: a row of one column, and the role of the host.
 fn row_reply(value: &str, is_primary: bool) -> Vec<u8> {
     let cell = [
         &[0, 1][..],
@@ -253,9 +254,9 @@
         .as_millis()
 }
 
-/// The statement with its remaining time blanked out: that is the one thing that a gateway changes.
-fn without_wait(text: &str) -> String {
-    let (head, tail) = text.split_once(",d=").expect("a statement with its wait");
+/// The statement with its remaining time blanked out, because that is the only part that a gateway changes.
+fn with_wait_blanked(text: &str) -> String {
+    let (head, tail) = text.split_once(",d=").expect("a statement with a wait");
     let rest = tail.trim_start_matches(|c: char| c.is_ascii_digit());
     assert!(rest.len() < tail.len(), "whole milliseconds: {text}");
     format!("{head},d=LEFT{rest}")
--- a/tests/gateway/harness/manual_host.rs
+++ b/tests/gateway/harness/manual_host.rs
@@ -1,4 +1,5 @@
-//! A database host whose every byte the test sends itself, to force the order of crossing events.
+//! A database host that sends only the bytes which the test sends, so that a test can force the order of concurrent
+//! events.
 
 use super::discovery::Discovery;
 use super::gateway::Gateway;
@@ -39,7 +40,7 @@
             "phase": phase, "size": 1.0, "up_since_ms": 0})
     }
 
-    /// The next connection, with its startup message read.
+    /// Waits for the next connection and reads its startup message.
     pub fn accept(&self) -> TcpStream {
         let mut stream = self
             .connections
@@ -50,7 +51,7 @@
         stream
     }
 
-    /// Starts a gateway without health checks, so that all that this host receives is requests, and whose attempts
+    /// Starts a gateway that sends no health checks, so that this host receives requests only, and whose attempts
     /// cannot be cancelled.
     pub fn start_gateway_without_health_checks(&self, discovery: &Discovery) -> Gateway {
         Gateway::start_with_config(discovery, &[], |config| {
@@ -69,7 +70,7 @@
         .unwrap();
 }
 
-/// The next query on a connection; `None` where the connection has ended.
+/// Reads the next query on a connection; `None` if the connection has ended.
 pub fn read_query(stream: &mut TcpStream) -> Option<String> {
     let (_, body) = read_message(stream)?;
     Some(String::from_utf8(body).unwrap())
--- a/tests/gateway/harness/messages.rs
+++ b/tests/gateway/harness/messages.rs
@@ -3,12 +3,12 @@
 use std::io::Read;
 use std::net::TcpStream;
 
-/// A typed message with its length.
+/// Encodes a message from its type and body.
 pub fn message(tag: u8, body: &[u8]) -> Vec<u8> {
     [&[tag], &(body.len() as u32 + 4).to_be_bytes()[..], body].concat()
 }
 
-/// Reads a typed message: its type and body. `None` where the connection has ended.
+/// Reads a message and returns its type and body, or `None` if the connection has ended.
 pub fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
     let mut head = [0; 5];
     stream.read_exact(&mut head).ok()?;
@@ -17,7 +17,7 @@
     Some((head[0], body))
 }
 
-/// Reads and drops a startup message. `None` where the connection has ended.
+/// Reads and discards a startup message. Returns `None` if the connection has ended.
 pub fn read_startup(stream: &mut TcpStream) -> Option<()> {
     let mut length = [0; 4];
     stream.read_exact(&mut length).ok()?;
@@ -37,7 +37,7 @@
     message(b'Q', format!("{text}\0").as_bytes())
 }
 
-/// A statement of a class, whose client waits for this many milliseconds.
+/// A statement of the given class, whose client waits for `wait_ms`.
 pub fn statement(class: &str, wait_ms: u64) -> String {
     format!(
         "SELECT payload FROM entries WHERE ref = '7f3a' /* id=9b1f,c={class},d={wait_ms},k=5c0f,cluster=2 */"
@@ -49,7 +49,7 @@
     query_message(&statement("read", 9_000).replace("9b1f", request_id))
 }
 
-/// A query of class `once` with request id 51, which hosts recognise by the word "slow" in its text.
+/// A query of class `once` with request id 51. Its text contains "slow", by which hosts recognise it.
 pub fn slow_query_message(wait_ms: u64) -> Vec<u8> {
     query_message(
         &statement("once", wait_ms)
--- a/tests/gateway/harness/mod.rs
+++ b/tests/gateway/harness/mod.rs
@@ -1,6 +1,6 @@
 //! The environment of a gateway under test: the program as a process, with clients, database hosts and discovery played
-//! by the test, all on ephemeral loopback ports. The harness waits for conditions and never for a length of time;
-//! [`TEST_TIMEOUT`] merely ends a test that has failed.
+//! by the test, all on ephemeral loopback ports. The harness waits for conditions and never for a fixed duration;
+//! [`TEST_TIMEOUT`] only ends a test that has failed.
 
 pub mod client;
 pub mod discovery;
--- a/tests/gateway/harness/monitor.rs
+++ b/tests/gateway/harness/monitor.rs
@@ -1,4 +1,4 @@
-//! A value that threads share and wait on.
+//! A value that threads share, and on whose updates they wait.
 
 use super::TEST_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex};
@@ -35,8 +35,7 @@
 
     /// Waits until the closure returns a result.
     ///
-    /// # Panics
-    /// After [`TEST_TIMEOUT`] in all, however often the value is updated meanwhile.
+    /// If that takes longer than [`TEST_TIMEOUT`] in total, no matter how often the value is updated.
     pub fn wait_for<R>(
         &self,
         description: &str,
@@ -49,9 +48,9 @@
             if let Some(result) = condition(&mut value) {
                 return result;
             }
-            let left = deadline.saturating_duration_since(Instant::now());
-            assert!(!left.is_zero(), "waited in vain: {description}");
-            value = updated.wait_timeout(value, left).unwrap().0;
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            assert!(!remaining.is_zero(), "timed out waiting for: {description}");
+            value = updated.wait_timeout(value, remaining).unwrap().0;
         }
     }
 }
--- a/tests/gateway/harness/scripted_discovery.rs
+++ b/tests/gateway/harness/scripted_discovery.rs
@@ -1,4 +1,4 @@
-//! A discovery server whose responses follow a script, to break them off at chosen points.
+//! A discovery server whose responses follow a script, so that a test can break them off at chosen points.
 
 use super::discovery::Discovery;
 use super::monitor::Monitor;
@@ -9,18 +9,18 @@
 
 /// A request to a scripted server.
 pub struct ScriptedRequest<'a> {
-    /// The number of its connection, from 1.
+    /// Sequence number of its connection, from 1.
     pub connection: usize,
     pub path: &'a str,
     pub stream: &'a mut TcpStream,
-    /// The list that the test holds now, as a response's body.
+    /// The current list of the test, as a response body.
     pub body: &'a str,
 }
 
-/// What a scripted server does with a request.
+/// Handles a request to a scripted server.
 pub type ResponseScript = fn(ScriptedRequest<'_>);
 
-/// Starts a discovery server that responds by a script with the list that the test holds.
+/// Starts a discovery server that passes each request to the script, together with the current value of `list`.
 pub fn start_scripted_discovery(list: Monitor<String>, script: ResponseScript) -> Discovery {
     let unused = Discovery::start(vec![]);
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -62,7 +62,7 @@
     }
 }
 
-/// An endpoint list as a response's body.
+/// Encodes an endpoint list as a response body.
 pub fn endpoint_list_body(revision: u64, members: Value) -> String {
     serde_json::to_string_pretty(
         &json!({"revision": revision, "complete": true, "members": members}),
--- a/tests/gateway/hot_restart.rs
+++ b/tests/gateway/hot_restart.rs
@@ -1,4 +1,4 @@
-//! Two versions of the program that run side by side, and the hand-over between them.
+//! Hot restart: two processes of the gateway that run side by side, and the hand-over between them.
 
 use crate::harness::discovery::{Discovery, EndpointList};
 use crate::harness::gateway::{Gateway, InheritedSocket};
@@ -11,7 +11,7 @@
 use std::net::UdpSocket;
 use std::time::Duration;
 
-/// Guards against clients that are refused, reset or left without an answer while one version replaces another.
+/// Guards against clients that are refused, reset or left without an answer while a new process replaces the old one.
 #[test]
 fn queued_clients_of_an_inherited_socket_are_served_by_the_next_process() {
     let host = Host::start("s-1", true, |_, text| {
@@ -30,7 +30,7 @@
     host.wait_for_event("slow");
     old.signal("-TERM");
     old.wait_for_log("stopping");
-    // No process accepts now.
+    // At this point no process accepts connections.
     let mut queued = old.connect();
     queued.send(&[startup_message(), query_message(&statement("read", 9_000))].concat());
     assert!(busy.read_until_ready().contains("a1b2"));
@@ -45,7 +45,8 @@
     assert_snapshot!(new.call_console("readyz\n"), @"+OK ready");
 }
 
-/// Guards against a process that accepts clients before it knows which hosts drain: drains are binding for both processes.
+/// Guards against a process that accepts clients before it has learned which hosts drain: it would send requests to a
+/// draining host.
 #[test]
 fn new_process_is_ready_once_discovery_has_answered() {
     let host = Host::start("s-1", true, reply_with_row);
@@ -57,13 +58,13 @@
         .wait_for("a call", |c| c.first().cloned());
     assert_eq!(
         called, "0: /discovery/hosts",
-        "the whole list, which comes at once"
+        "the first request asks for the whole list, without a long poll"
     );
     discovery
         .requests
-        .wait_for("what is newer", |c| c.get(1).cloned());
+        .wait_for("a long poll for a newer list", |c| c.get(1).cloned());
     assert!((0..1_000_000).any(|_| new.call_console("readyz\n").starts_with("+OK")));
-    // A silent discovery server delays the start only for a while.
+    // A silent discovery server delays the start only up to a time limit.
     let silent = Discovery::start_silent();
     let socket = InheritedSocket::new();
     let new = Gateway::start_with_socket(Some(&socket), &silent, &[&host], |_| {});
@@ -74,13 +75,13 @@
 }
 
 /// Guards against two processes that together hold twice the descriptors of one, and against a new process that undoes
-/// a drain which the older one knows.
+/// a drain of which only the old process has been notified.
 #[test]
 fn new_process_receives_the_list_and_shares_descriptors_with_the_older() {
     let one = Host::start("s-1", true, reply_with_row);
     let two = Host::start("s-2", false, reply_with_row);
     let discovery = Discovery::start(vec![one.entry("in_service", 0), two.entry("in_service", 0)]);
-    // Of 76 descriptors, 51 are for clients, and another process takes 64 for itself.
+    // 51 of 76 descriptors are for clients; a second process reserves 64 of its own.
     let limit_descriptors = |config: &mut Value| config["limits"]["sockets"] = json!(140);
     let socket = InheritedSocket::new();
     let mut old =
@@ -116,14 +117,15 @@
     assert_eq!(
         two.statements().len(),
         before,
-        "a drain that the older list does not hold"
+        "a drain that is missing from the new process's own list"
     );
-    // The next process gets the list from this one.
+    // A third process receives the list from the second one.
     let last = Gateway::start_with_socket(Some(&second_socket), &silent, &[], limit_descriptors);
     last.wait_for_log("an older process hands over");
 }
 
-/// Guards against a new version that never shares with its peers: the older process holds the peer address while both run.
+/// Guards against a new process that never shares results with its peers, because the old process holds the peer
+/// address while both run.
 #[test]
 fn new_process_opens_its_peer_socket_once_the_older_has_ended() {
     let host = Host::start("s-1", true, reply_with_row);
@@ -136,7 +138,7 @@
     });
     let mut datagram = [0; 512];
     peer.recv_from(&mut datagram)
-        .expect("a finding of the older");
+        .expect("a health check result from the old process");
     let own = old.config["peer_listen"].clone();
     let new = Gateway::start_with_socket(Some(&socket), &discovery, &[&host], |config| {
         join_sixteen_gateways(config, &peer);
@@ -151,5 +153,5 @@
     while peer.recv_from(&mut datagram).is_ok() {}
     peer.set_nonblocking(false).unwrap();
     peer.recv_from(&mut datagram)
-        .expect("a finding of the newer");
+        .expect("a health check result from the new process");
 }
--- a/tests/gateway/limits.rs
+++ b/tests/gateway/limits.rs
@@ -41,14 +41,14 @@
     ErrorResponse SFATAL VFATAL C53300 Mtoo many connections D250
     closed
     ");
-    // One client leaves: there is room again as soon as the gateway has noticed.
+    // One client disconnects: another is accepted as soon as the gateway has noticed.
     clients.pop();
     let mut accepted = gateway.accepted_client();
     assert!(accepted.query("").starts_with("Empty"));
 }
 
-/// Guards against clients that send one query and stay connected: they would hold all connections, and new clients would be
-/// rejected.
+/// Guards against clients that send one query and stay connected: they would use up the connection limit, and new
+/// clients would be rejected.
 #[test]
 fn longest_idle_client_is_evicted_at_the_connection_limit() {
     let host = Host::start("s-1", true, reply_with_row);
@@ -61,13 +61,13 @@
         .for_each(|c| assert!(c.query(&statement("read", 9_000)).contains("a1b2")));
     assert!(
         clients[0].query("").starts_with("Empty"),
-        "the first to come, but not the first to be quiet"
+        "connected first, but not idle for longest"
     );
     let mut accepted = gateway.accepted_client();
     assert_eq!(
         clients.remove(1).stream.read(&mut [0]).unwrap(),
         0,
-        "closed between two requests"
+        "an idle client is closed without an error"
     );
     clients.push(
         accepted
@@ -81,13 +81,13 @@
         .for_each(|c| assert!(c.query(&statement("read", 9_000)).contains("a1b2")));
 }
 
-/// Guards against surges of clients that send one query and stay connected: they would use up the third of the descriptors
-/// that all clients share, while the connection limit is not reached.
+/// Guards against surges of clients that send one query and stay connected: they would use up the third of the
+/// descriptors that all clients share before the connection limit is reached.
 #[test]
 fn idle_clients_are_evicted_below_the_limit_when_connections_surge() {
     let host = Host::start("s-1", true, reply_with_row);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
-    // 38 connections are allowed, of which 20 are in use on usual days.
+    // 38 connections are allowed, of which 20 are in use at normal load.
     let limit_descriptors = |config: &mut Value| config["limits"]["sockets"] = json!(120);
     let gateway = Gateway::start_with_config(&discovery, &[&host], limit_descriptors);
     let mut clients: Vec<Client> = (0..30).map(|_| gateway.client()).collect();
@@ -99,7 +99,7 @@
         assert_eq!(
             c.stream.read(&mut [0]).unwrap(),
             0,
-            "those that have been quiet longest"
+            "the clients that have been idle for longest are evicted"
         );
     }
     remaining
@@ -107,7 +107,7 @@
         .for_each(|c| assert!(c.query(&statement("read", 9_000)).contains("a1b2")));
 }
 
-/// Guards against clients that send nothing, or part of a message, and hold their connections for ever.
+/// Guards against clients that send nothing or an incomplete message, and so hold their connections indefinitely.
 #[test]
 fn incomplete_client_message_times_out_with_an_error() {
     let host = Host::start("s-1", true, reply_with_row);
@@ -131,6 +131,6 @@
     ");
     assert!(
         idle.query(&statement("read", 9_000)).contains("a1b2"),
-        "between two requests it may be quiet"
+        "a client may be idle between two requests"
     );
 }
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,4 +1,4 @@
-//! The program as a process: its exchanges with clients, database hosts, discovery, operators and peers.
+//! Tests of the program as a process: its exchanges with clients, database hosts, discovery, operators and peers.
 
 #![allow(clippy::unwrap_used)]
 
--- a/tests/gateway/peers.rs
+++ b/tests/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! What gateways share with one another.
+//! Health check results that gateways share with one another.
 
 use crate::harness::discovery::Discovery;
 use crate::harness::gateway::Gateway;
@@ -19,8 +19,10 @@
         join_sixteen_gateways(config, &peer)
     });
     let mut datagram = [0; 512];
-    let (length, from) = peer.recv_from(&mut datagram).expect("a finding");
-    // The version, the time, and one host of six bytes that is a primary.
+    let (length, from) = peer
+        .recv_from(&mut datagram)
+        .expect("a health check result");
+    // The datagram holds the version, the time, and one host entry of six bytes that marks a primary.
     assert_eq!((length, datagram[0], datagram[10] & 0x80), (11, 1, 0x80));
     let stranger = UdpSocket::bind("127.0.0.5:0").unwrap();
     for bad in [
@@ -39,7 +41,10 @@
         .client()
         .query(&statement("read", 9_000))
         .contains("a1b2"));
-    assert!(peer.recv_from(&mut datagram).is_ok(), "it goes on telling");
+    assert!(
+        peer.recv_from(&mut datagram).is_ok(),
+        "the gateway keeps sending results"
+    );
     gateway.signal("-TERM");
     assert_eq!(gateway.exit_code(), Some(0));
 }
--- a/tests/gateway/pipelining.rs
+++ b/tests/gateway/pipelining.rs
@@ -1,4 +1,4 @@
-//! Clients that send requests ahead of their answers: each request that the gateway has taken gets its answer, in order.
+//! Clients that pipeline requests: each request that the gateway has accepted gets its answer, in order.
 
 use crate::harness::client::Client;
 use crate::harness::discovery::Discovery;
@@ -10,12 +10,12 @@
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// The platform kills a gateway no sooner than this after SIGTERM, with deadlines of 3 s and more.
+/// Minimum time from SIGTERM until the platform kills the gateway, for settings whose deadlines are 3 s or longer.
 const EARLIEST_KILL: Duration = Duration::from_millis(3_700);
-/// Size of the largest value that a client writes, in bytes.
+/// Size of the largest value that a client writes in these tests, in bytes.
 const LARGEST_VALUE: usize = 64 * 1024;
 
-/// A keyed write of a value of this many bytes.
+/// A keyed write whose value has `value_length` bytes.
 fn write_message(id: &str, value_length: usize, wait_ms: u64) -> Vec<u8> {
     let value = "0".repeat(value_length);
     query_message(&format!(
@@ -24,13 +24,13 @@
     ))
 }
 
-/// Reads this many answers; the last one may be the end of the connection.
+/// Reads `count` answers; the last one may be the end of the connection.
 fn read_answers(client: &mut Client, count: usize) -> Vec<String> {
     (0..count).map(|_| client.read_until_ready()).collect()
 }
 
-/// Guards against a limit on what is read ahead that ends the connection: the requests behind an unanswered one would get
-/// no answer (incident 8131).
+/// Guards against a read-ahead limit that ends the connection: the requests behind an unanswered one would get no
+/// answer (incident 8131).
 #[test]
 fn large_writes_behind_an_unanswered_one_all_get_their_answers() {
     let host = Host::start("s-1", true, no_reply_to_slow);
@@ -56,15 +56,15 @@
     }
 }
 
-/// Guards against the shared memory for messages ending connections on which answers are due: what many clients send
-/// ahead is more than that memory holds.
+/// Guards against closing connections with unanswered requests when the pipelined requests of many clients exceed the
+/// shared message memory.
 #[test]
 fn requests_sent_ahead_beyond_the_shared_memory_all_get_their_answers() {
     const CLIENTS: usize = 40;
     const WRITES: usize = 3;
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
-    // A quarter of it is for messages: 4 MiB, and the clients send 7.5 MiB ahead.
+    // A quarter of the memory is for messages: 4 MiB. The clients send 7.5 MiB ahead.
     let limit_memory = |config: &mut serde_json::Value| config["limits"]["memory_mb"] = json!(16);
     let gateway = Gateway::start_with_config(&discovery, &[&host], limit_memory);
     let mut clients: Vec<Client> = (0..CLIENTS).map(|_| gateway.client()).collect();
@@ -85,8 +85,8 @@
     }
 }
 
-/// Guards against a request from before SIGTERM that keeps its own deadline beyond the kill, and with it everything that
-/// came behind it on its connection.
+/// Guards against a request received before SIGTERM that keeps its original deadline, which is later than the kill: the
+/// requests behind it on its connection would get no answer either.
 #[test]
 fn requests_behind_an_unanswered_one_are_answered_before_the_kill_after_sigterm() {
     let host = Host::start("s-1", true, no_reply_to_slow);
@@ -111,32 +111,33 @@
     assert!(elapsed < EARLIEST_KILL, "{elapsed:?}: {answers:?}");
 }
 
-/// A read with this id, whose client waits for this many milliseconds.
-fn read_message(id: &str, wait_ms: u64) -> Vec<u8> {
+/// A read with the given request id, whose client waits for `wait_ms`.
+fn read_query_with_wait(id: &str, wait_ms: u64) -> Vec<u8> {
     query_message(&statement("read", wait_ms).replace("9b1f", id))
 }
 
-/// Guards against a request whose time counts from its turn: it would be answered after its client has stopped waiting, and
-/// its host be told more time than the client has.
+/// Guards against measuring the deadline of a pipelined request from the moment at which it is dispatched: it would be
+/// answered after its client has stopped waiting, and its host would be given more time than the client has.
 #[test]
-fn time_of_a_request_counts_from_its_last_byte_and_not_from_its_turn() {
+fn deadline_of_a_pipelined_request_counts_from_its_last_byte_and_not_from_its_dispatch() {
     let manual_host = ManualHost::start();
     let discovery = Discovery::start(vec![manual_host.entry("in_service")]);
     let gateway = manual_host.start_gateway_without_health_checks(&discovery);
     let mut client = gateway.client();
     let sent = Instant::now();
-    // The first hangs, the second's time is over before its turn, of the third's a part is.
+    // The first request gets no answer, the second one expires before it can be dispatched, and the third has used up
+    // part of its time by then.
     client.send(
         &[
-            read_message("01", 600),
-            read_message("02", 300),
-            read_message("03", 9_000),
+            read_query_with_wait("01", 600),
+            read_query_with_wait("02", 300),
+            read_query_with_wait("03", 9_000),
         ]
         .concat(),
     );
     let mut first = manual_host.accept();
     send_authentication_ok(&mut first);
-    read_query(&mut first).expect("the one that hangs");
+    read_query(&mut first).expect("the request that gets no answer");
     assert!(client
         .read_until_ready()
         .starts_with("ErrorResponse SERROR"));
@@ -145,21 +146,24 @@
     let waited = sent.elapsed();
     let mut third = manual_host.accept();
     send_authentication_ok(&mut third);
-    let seen = read_query(&mut third).expect("the third");
-    assert!(seen.contains("id=03"), "the second is not sent: {seen}");
-    let left = seen.split_once("d=").unwrap().1.split(',').next().unwrap();
-    let told = Duration::from_millis(left.parse().unwrap());
+    let seen = read_query(&mut third).expect("the third request");
     assert!(
-        told + waited <= Duration::from_millis(9_150),
-        "{told:?} left after {waited:?}"
+        seen.contains("id=03"),
+        "the expired second request must not be sent: {seen}"
+    );
+    let remaining_ms = seen.split_once("d=").unwrap().1.split(',').next().unwrap();
+    let forwarded_wait = Duration::from_millis(remaining_ms.parse().unwrap());
+    assert!(
+        forwarded_wait + waited <= Duration::from_millis(9_150),
+        "{forwarded_wait:?} forwarded after {waited:?}"
     );
     gateway.wait_for_counter(" expired=1 ");
 }
 
-/// Guards against times that are none, or nothing, which come behind another request: they get the answers that they get on
-/// their own, and no attempt.
+/// Guards against waits that are zero, negative or not valid numbers in a request behind another one: such a request
+/// gets the same answer as on its own, and no attempt.
 #[test]
-fn requests_without_time_are_answered_behind_another_one_as_on_their_own() {
+fn pipelined_requests_with_zero_or_invalid_waits_are_answered_as_on_their_own() {
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let gateway = Gateway::start(&discovery, &[&host]);
@@ -180,14 +184,14 @@
     assert!(host.statements().is_empty(), "{:?}", host.statements());
 }
 
-/// Guards against a request in two pieces whose time counts from the first.
+/// Guards against measuring the deadline of a request that arrives in two pieces from the first piece.
 #[test]
-fn time_of_a_request_in_pieces_counts_from_the_last_piece() {
+fn deadline_of_a_request_in_pieces_counts_from_the_last_piece() {
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let gateway = Gateway::start(&discovery, &[&host]);
     let mut client = gateway.client();
-    let message = read_message("02", 300);
+    let message = read_query_with_wait("02", 300);
     client.send(&[&write_message("slow", 10, 600)[..], &message[..20]].concat());
     assert!(client.read_until_ready().contains("CXX000"));
     client.send(&message[20..]);
@@ -195,13 +199,13 @@
     assert!(answer.contains("DataRow a1b2"), "{answer}");
 }
 
-/// Guards against a connection that ends, or an answer that is dropped, where memory for large messages runs out in the
-/// middle of a message: it is rejected, and the next one served.
+/// Guards against closing the connection or dropping an answer when the memory for large messages runs out in the
+/// middle of a message: that message is rejected, and the next one is served.
 #[test]
-fn message_without_room_is_rejected_and_its_connection_goes_on() {
+fn message_without_buffer_memory_is_rejected_and_its_connection_stays_open() {
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
-    // A quarter of it is for messages, 256 KiB: less than the statement needs with its copies.
+    // A quarter of the memory is for messages: 256 KiB, less than the statement needs with its copies.
     let limit_memory = |config: &mut serde_json::Value| config["limits"]["memory_mb"] = json!(1);
     let gateway = Gateway::start_with_config(&discovery, &[&host], limit_memory);
     let mut client = gateway.client();
@@ -214,7 +218,10 @@
             large.contains("C53300") && large.ends_with("ReadyForQuery"),
             "{large}"
         );
-        let small = client_answer(&mut client, &read_message(&format!("a{round}"), 9_000));
+        let small = client_answer(
+            &mut client,
+            &read_query_with_wait(&format!("a{round}"), 9_000),
+        );
         assert!(small.contains("DataRow a1b2"), "{small}");
     }
     gateway.wait_for_counter(" no_memory=3 ");
@@ -225,10 +232,10 @@
     client.read_until_ready()
 }
 
-/// Guards against a client's end that is not seen, as it stands behind more than is read ahead: an attempt for it would
-/// begin after it has gone.
+/// Guards against missing the disconnect of a client that has sent more than is read ahead: an attempt would be started
+/// for a client that is no longer connected.
 #[test]
-fn client_that_leaves_behind_more_than_is_read_ahead_has_gone() {
+fn disconnect_behind_more_than_is_read_ahead_is_detected() {
     let manual_host = ManualHost::start();
     let discovery = Discovery::start(vec![manual_host.entry("in_service")]);
     let gateway = manual_host.start_gateway_without_health_checks(&discovery);
@@ -236,7 +243,7 @@
     leaving.send(&read_query_message("1111"));
     let mut late = manual_host.accept();
     let message = write_message("2222", LARGEST_VALUE, 9_000);
-    // More than the gateway keeps, than it drops at full speed, and than the sockets' buffers hold.
+    // More than the gateway buffers, than it discards at full speed, and than the socket buffers hold.
     for _ in 0..190 {
         leaving.send(&message);
     }
@@ -247,16 +254,16 @@
     // The connection has to be idle in the pool before it can serve the next request.
     std::thread::sleep(Duration::from_millis(50));
     other.send(&read_query_message("3333"));
-    let seen = read_query(&mut late).expect("the connection is used again");
+    let seen = read_query(&mut late).expect("a query on the reused connection");
     assert!(
         seen.contains("id=3333"),
-        "sent for a client that had gone: {seen}"
+        "query sent for a disconnected client: {seen}"
     );
 }
 
-/// Guards against queries beyond the limit on what is read ahead that get no answer, or one out of order.
+/// Guards against queries beyond the read-ahead limit that get no answer, or one out of order.
 #[test]
-fn queries_beyond_what_is_read_ahead_are_rejected_in_their_turn() {
+fn queries_beyond_the_read_ahead_limit_are_rejected_in_order() {
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let gateway = Gateway::start(&discovery, &[&host]);
@@ -273,20 +280,25 @@
     let answers = read_answers(&mut client, 31);
     let is_row = |answer: &&String| answer.contains("DataRow a1b2");
     let rows = answers[1..].iter().take_while(is_row).count();
-    assert!(rows >= 15, "a mebibyte is read ahead: {answers:?}");
+    assert!(
+        rows >= 15,
+        "at least a mebibyte must be read ahead: {answers:?}"
+    );
     for answer in &answers[1 + rows..] {
         assert!(
             answer.contains("C53300") && answer.ends_with("ReadyForQuery"),
             "{answers:?}"
         );
     }
-    assert!(client_answer(&mut client, &read_message("ffff", 9_000)).contains("DataRow a1b2"));
+    assert!(
+        client_answer(&mut client, &read_query_with_wait("ffff", 9_000)).contains("DataRow a1b2")
+    );
 }
 
-/// Guards against the messages behind a breach of the protocol that vanish without a trace, and against an answer before it
-/// that does.
+/// Guards against dropping the messages behind a protocol violation without counting them, and against dropping the
+/// answers to the requests before it.
 #[test]
-fn queries_behind_a_breach_of_the_protocol_are_counted_and_those_before_it_answered() {
+fn queries_behind_a_protocol_violation_are_counted_and_those_before_it_answered() {
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let gateway = Gateway::start(&discovery, &[&host]);
@@ -294,9 +306,9 @@
     client.send(
         &[
             write_message("slow", 10, 300),
-            read_message("02", 9_000),
+            read_query_with_wait("02", 9_000),
             b"?\0\0\0\x04".to_vec(),
-            read_message("03", 9_000),
+            read_query_with_wait("03", 9_000),
         ]
         .concat(),
     );
@@ -308,7 +320,7 @@
     gateway.wait_for_counter(" unanswered=1");
 }
 
-/// Guards against a long answer during which nothing is read: a request that came behind it is answered as well.
+/// Guards against dropping a request that arrives while the gateway forwards a long answer and reads no input.
 #[test]
 fn requests_behind_a_long_answer_to_a_slow_client_are_answered() {
     let host = Host::start("s-1", true, |_, text| match text {
@@ -336,8 +348,9 @@
     }
 }
 
-/// Guards against a connection that a client keeps open behind SIGTERM by sending ahead without an end, up to the kill: it
-/// ends before that, and what was sent a moment earlier has its answer.
+/// Guards against a client that keeps its connection open from SIGTERM until the kill by pipelining requests without
+/// pause: the gateway closes the connection earlier, and answers each request that was sent more than `CROSSING` before
+/// the close.
 #[test]
 fn client_that_never_stops_sending_gets_its_answers_before_the_kill() {
     const CROSSING: Duration = Duration::from_millis(100);
@@ -345,7 +358,7 @@
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let gateway = Gateway::start(&discovery, &[&host]);
     let mut client = gateway.client();
-    // The first hangs at its host, so that much has come behind it when it is answered.
+    // The first request gets no answer from its host, so that many others queue behind it.
     client.send(&write_message("slow", 10, 9_000));
     host.wait_for_event("slow");
     let terminated = Instant::now();
@@ -355,7 +368,7 @@
         let mut sent_at = Vec::new();
         for number in 0.. {
             if writer
-                .write_all(&read_message(&format!("{number:x}"), 9_000))
+                .write_all(&read_query_with_wait(&format!("{number:x}"), 9_000))
                 .is_err()
                 || terminated.elapsed() > 2 * EARLIEST_KILL
             {
@@ -371,15 +384,22 @@
         answered += 1;
     }
     let ended = Instant::now();
-    assert!(ended < terminated + EARLIEST_KILL, "open after the kill");
+    assert!(
+        ended < terminated + EARLIEST_KILL,
+        "connection still open at the kill"
+    );
     let sent_at = sending.join().unwrap();
-    let owed = sent_at.iter().filter(|&&at| at + CROSSING < ended).count();
-    assert!(answered > owed, "{answered} answers for {owed} requests");
+    let expected = sent_at.iter().filter(|&&at| at + CROSSING < ended).count();
+    assert!(
+        answered > expected,
+        "{answered} answers for {expected} requests"
+    );
 }
 
-/// Guards against queries that vanish on a connection that is one too many: several come right behind its startup.
+/// Guards against dropping queries that are pipelined behind the startup message on a connection beyond the connection
+/// limit.
 #[test]
-fn queries_behind_the_startup_of_a_connection_too_many_are_all_rejected() {
+fn queries_behind_the_startup_of_a_connection_beyond_the_limit_are_all_rejected() {
     let host = Host::start("s-1", true, no_reply_to_slow);
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let limit_descriptors =
@@ -394,8 +414,8 @@
     rejected.send(
         &[
             startup_message(),
-            read_message("01", 9_000),
-            read_message("02", 9_000),
+            read_query_with_wait("01", 9_000),
+            read_query_with_wait("02", 9_000),
         ]
         .concat(),
     );
@@ -409,15 +429,21 @@
     assert!(rejected.read_until_ready().contains("SFATAL VFATAL C53300"));
 }
 
-/// Guards against requests behind a value that breaks off which vanish without a trace: the connection's end is the only way
-/// to say that the value is not whole.
+/// Guards against dropping the requests behind a truncated value without a log line: closing the connection is the only
+/// way to tell the client that the value is incomplete.
 #[test]
-fn queries_behind_a_value_that_breaks_off_are_logged() {
+fn queries_behind_a_truncated_value_are_logged() {
     let host = Host::start("s-1", true, |_, _| HostReply::TruncatedRow(1 << 20));
     let discovery = Discovery::start(vec![host.entry("in_service", 0)]);
     let gateway = Gateway::start(&discovery, &[&host]);
     let mut client = gateway.client();
-    client.send(&[read_message("01", 9_000), read_message("02", 9_000)].concat());
+    client.send(
+        &[
+            read_query_with_wait("01", 9_000),
+            read_query_with_wait("02", 9_000),
+        ]
+        .concat(),
+    );
     assert!(client.read_until_ready().ends_with("closed"));
     gateway.wait_for_log("ends the connection (Truncated), 1 queries unanswered: 02");
 }
--- a/tests/gateway/protocol.rs
+++ b/tests/gateway/protocol.rs
@@ -11,7 +11,7 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// The whole answer of a host: a row with the value `x`.
+/// The complete answer of a host: a row with the value `x`.
 fn row_answer() -> Vec<u8> {
     let column = [&b"T\0\0\0\x20\0\x01payload\0"[..], &[0; 18]].concat();
     [
@@ -30,7 +30,7 @@
     let gateway = Gateway::start(&discovery, &[&host]);
     let mut client = gateway.connect();
     client.send(&[0, 0, 0, 8, 0x04, 0xd2, 0x16, 0x2f]);
-    assert_eq!(client.read_byte(), b'N', "no encryption here");
+    assert_eq!(client.read_byte(), b'N', "encryption is declined");
     // The first query follows the startup message in the same packet.
     let first = "SELECT payload FROM entries WHERE ref = 'it''s /* d=1 */' /* id=9b1f,x=1, c=read ,d=9000,cluster=2 */ ;";
     client.send(&[startup_message(), query_message(first)].concat());
@@ -48,7 +48,7 @@
     EmptyQueryResponse
     ReadyForQuery
     ");
-    // Pipelined queries are answered in order, on the connection that is open already.
+    // Pipelined queries are answered in order, on the upstream connection that is already open.
     client.send(
         &[
             query_message(&statement("once", 9_000)),
@@ -127,7 +127,8 @@
     assert!(client.query(&good).contains("a1b2"));
 }
 
-/// Protocol violations end the connection on which they come. What else the gateway serves is checked by the caller.
+/// Checks that protocol violations end the connection on which they arrive. The caller checks that the gateway still
+/// serves other clients.
 fn assert_protocol_violations_close_their_connection(gateway: &Gateway) {
     let violations: [&[u8]; 5] = [
         b"Q\0\0\0\x06xx",
@@ -157,7 +158,7 @@
             .read_until_ready()
             .starts_with("ErrorResponse SFATAL VFATAL C08P01"));
     }
-    // A message that is cut off by the end of the connection.
+    // A message truncated by the end of the connection.
     let mut truncated = gateway.client();
     truncated.send(&query_message(&statement("read", 9_000))[..20]);
     truncated.stream.shutdown(Shutdown::Both).unwrap();
@@ -165,7 +166,7 @@
 
 #[test]
 fn malformed_host_answer_is_retried_and_never_returned() {
-    // Two columns, a wrong length, bytes that are no messages, a completion without a row; then a valid row.
+    // Two columns, a wrong length, bytes that form no message, a completion without a row; then a valid row.
     let host = Host::start("s-1", true, |n, _| match n {
         0 => HostReply::Raw(b"D\0\0\0\x10\0\x02\0\0\0\x01x\0\0\0\x01yZ\0\0\0\x05I"),
         1 => HostReply::Raw(b"D\0\0\0\x0b\0\x01\0\0\0\x09xC\0\0\0\x0dSELECT 1\0Z\0\0\0\x05I"),
@@ -180,8 +181,8 @@
     assert_eq!(host.statements().len(), 5);
 }
 
-/// Guards against the worst case, a wrong value: bytes behind a valid answer that are read as the answer to the next
-/// request.
+/// Guards against returning a wrong value, the worst failure: bytes behind a valid answer must not be read as the
+/// answer to the next request.
 #[test]
 fn duplicate_answer_is_not_returned_to_the_next_request() {
     let host = Host::start("s-1", true, |n, _| {
@@ -204,17 +205,17 @@
     }
 }
 
-/// Guards against an incomplete row that is forwarded as a whole one: the host breaks off behind each byte of its answer,
-/// by closing or by resetting the connection.
+/// Guards against forwarding an incomplete row as a complete one: the host stops after each byte of its answer in turn,
+/// and closes or resets the connection.
 #[test]
-fn truncated_answer_is_a_row_only_once_its_last_message_is_whole() {
+fn truncated_answer_is_a_row_only_once_its_last_message_is_complete() {
     let manual_host = ManualHost::start();
     let discovery = Discovery::start(vec![manual_host.entry("in_service")]);
     let gateway = Gateway::start_with_config(&discovery, &[], |config| {
         config["known"]["members"] = json!([manual_host.entry("in_service")]);
         config["settings"]["Bounds"]["Probes"] = json!(false);
         config["settings"]["Bounds"]["MostTries"] = json!(1);
-        // A host that breaks off is not used again for a small multiple of this time.
+        // The gateway avoids a host that breaks off an answer for a small multiple of this time.
         config["settings"]["Bounds"]["ConnectTimeoutNs"] = json!(100_000_000u64);
     });
     let whole = row_answer();
@@ -228,7 +229,7 @@
         read_query(&mut host).expect("the statement");
         host.write_all(&whole[..cut]).unwrap();
         if reset {
-            // Gives the gateway time to read what has been sent: a reset discards what is unread.
+            // Gives the gateway time to read the bytes sent so far, because a reset discards data that is still unread.
             std::thread::sleep(Duration::from_millis(10));
             socket2::SockRef::from(&host)
                 .set_linger(Some(Duration::ZERO))
@@ -249,7 +250,8 @@
     }
 }
 
-/// Guards against a client that uses the id of another client's open request: a host would take both for one request.
+/// Guards against a request that has the id of another client's open request: a host would take both for the same
+/// request.
 #[test]
 fn request_id_of_an_open_request_is_rejected_until_that_ends() {
     let host = Host::start("s-1", true, no_reply_to_slow);
@@ -266,13 +268,13 @@
         answer.contains("C42601 Mthe id of a request that is open"),
         "{answer}"
     );
-    assert_eq!(host.statements().len(), 1, "it reaches no host");
+    assert_eq!(host.statements().len(), 1, "the duplicate reaches no host");
     drop(owner);
     host.wait_for_event("closed");
     assert!((0..1_000_000).any(|_| other.query(&statement("read", 9_000)).contains("a1b2")));
 }
 
-/// Guards against a reset that discards the error: closing a connection with unread input resets it.
+/// Guards against losing the error message: closing a connection that has unread input resets it.
 #[test]
 fn error_for_an_oversized_message_arrives_when_input_is_unread() {
     let host = Host::start("s-1", true, reply_with_row);
@@ -286,6 +288,6 @@
     assert_eq!(
         client.stream.read(&mut [0]).unwrap(),
         0,
-        "an end and no reset"
+        "end of connection, not a reset"
     );
 }
--- a/tests/gateway/retries.rs
+++ b/tests/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! Which requests are retried, where, and until when.
+//! Retries: which requests are retried, on which hosts, and until when.
 
 use crate::harness::discovery::Discovery;
 use crate::harness::gateway::Gateway;
@@ -9,7 +9,7 @@
 
 #[test]
 fn request_that_may_have_run_is_not_retried() {
-    // The connection that served the first statement is closed on the second, which may have run by then.
+    // The host closes the connection on the second statement, which may have run by then.
     let host = Host::start("s-1", true, |n, _| {
         if n == 1 {
             HostReply::CloseConnection
@@ -75,7 +75,7 @@
     let mut client = gateway.client();
     assert!(
         client.query(&statement("order", 9_000)).contains("old"),
-        "its report says that it is the primary"
+        "the load report names the host as the primary"
     );
     one.is_primary.update(|p| *p = false);
     two.is_primary.update(|p| *p = true);
@@ -97,11 +97,11 @@
     ErrorResponse SERROR VERROR C53300 Mturned away, trying again is harmless D1000
     ReadyForQuery
     ");
-    // There is no second answer to either: the next answer belongs to the next query.
+    // Neither request gets a second answer: the next answer belongs to the next query.
     assert!(client.query("").starts_with("Empty"));
 }
 
-/// Guards against a client that claims to wait for a day: its request would be queued as long.
+/// Guards against a client that states a wait of one day: its request would stay queued for that long.
 #[test]
 fn client_wait_is_capped_by_the_deadline_of_its_class() {
     let host = Host::start("s-1", true, |n, _| {
@@ -115,7 +115,7 @@
     let short_deadline =
         |config: &mut Value| config["settings"]["Classes"][2]["DeadlineNs"] = json!(300_000_000);
     let gateway = Gateway::start_with_config(&discovery, &[&host], short_deadline);
-    // This makes the primary known: on a busy machine it would not be found within the short deadline.
+    // Makes the primary known first: on a busy machine it would not be found within the short deadline.
     assert!(gateway
         .client()
         .query(&statement("order", 9_000))
--- a/tests/gateway/shutdown.rs
+++ b/tests/gateway/shutdown.rs
@@ -26,21 +26,21 @@
             .client()
             .query(&statement("once", 9_000))
             .contains("a1b2"),
-        "new connections are still taken"
+        "new connections are still accepted"
     );
     assert!(
         idle.query(&statement("once", 9_000)).contains("a1b2"),
-        "and old ones served"
+        "existing connections are still served"
     );
     assert_eq!(
         idle.stream.read(&mut [0]).unwrap(),
         0,
-        "then closed between requests"
+        "closed once no request is open"
     );
     let last = busy.read_until_ready();
     assert!(
         last.starts_with("ErrorResponse SERROR VERROR CXX000"),
-        "finished before it is closed: {last}"
+        "the open request is finished before its connection is closed: {last}"
     );
     assert_eq!(gateway.exit_code(), Some(0));
     let counters = gateway.log.wait_for("the counters", |l| {
@@ -53,8 +53,8 @@
     assert_snapshot!(counts.join(" "), @"irisrouter: counters received=3 served=2 truncated=0 rejected=0 failed=1 client_gone=0 malformed=0 gossip_sent=0 gossip_received=0 datagrams_ignored=0 downstream_accepted=3 downstream_rejected=0 downstream_evicted=0 attempt_ok=2 attempt_timed_out=1");
 }
 
-/// Guards against requests that a shutdown leaves without an answer: one is not answered by its host, one waits for a
-/// connection, one is complete only late; and against a second signal that cuts them off.
+/// Guards against requests that get no answer because of a shutdown (one that its host does not answer, one that waits
+/// for a connection, one whose last bytes arrive late), and against a second signal that interrupts them.
 #[test]
 fn unanswered_waiting_and_late_requests_are_answered_after_sigterm() {
     let manual_host = ManualHost::start();
@@ -62,7 +62,7 @@
     let mut gateway = Gateway::start_with_config(&discovery, &[], |config| {
         config["known"]["members"] = json!([manual_host.entry("in_service")]);
         config["settings"]["Bounds"]["Probes"] = json!(false);
-        // All deadlines are short: the durations of a shutdown follow from the longest.
+        // All deadlines are short, because the longest deadline determines the duration of a shutdown.
         for class in config["settings"]["Classes"].as_array_mut().unwrap() {
             class["DeadlineNs"] = json!(400_000_000);
         }
@@ -73,7 +73,7 @@
     clients[0].send(&numbered_query(0));
     let mut unanswered = manual_host.accept();
     send_authentication_ok(&mut unanswered);
-    read_query(&mut unanswered).expect("one that hangs");
+    read_query(&mut unanswered).expect("the request that gets no answer");
     gateway.signal("-TERM");
     gateway.wait_for_log("stopping");
     gateway.signal("-TERM");
@@ -81,7 +81,7 @@
     clients[1].send(&numbered_query(1));
     let _not_established = manual_host.accept();
     let mut last = gateway.client();
-    // Part of its query now, and the rest once the other two have their answers.
+    // Sends part of the query now, and the rest once the other two requests have their answers.
     let bytes = numbered_query(2);
     last.send(&bytes[..20]);
     for client in &mut clients[..2] {
--- a/tests/gateway/streaming.rs
+++ b/tests/gateway/streaming.rs
@@ -1,4 +1,4 @@
-//! Long values, which are forwarded while they arrive.
+//! Streaming of long values: the gateway forwards them while they arrive.
 
 use crate::harness::client::Client;
 use crate::harness::discovery::Discovery;
@@ -8,13 +8,14 @@
 use std::io::Read;
 
 /// Guards against long values that are delayed, buffered as a whole, or read from a host faster than their client reads
-/// them; and against a truncated value that looks whole, or whose request is retried after its first bytes.
+/// them; and against a truncated value that is returned as a complete one, or whose request is retried after its first
+/// bytes were forwarded.
 #[test]
 fn long_value_is_streamed_at_the_pace_of_its_client() {
     const LENGTH: usize = 30 << 20;
-    // RowDescription, and the part of DataRow before the value.
+    // Length of RowDescription and of the part of DataRow before the value.
     const HEADER_LENGTH: usize = 33 + 11;
-    // What a client reads while the host is paused.
+    // Number of bytes that a client can read while the host is paused.
     const FIRST_PART: usize = 100_000;
     let host = Host::start("s-1", true, |_, text| match text {
         _ if text.contains("half") => HostReply::TruncatedRow(LENGTH),
@@ -35,7 +36,7 @@
         client.stream.read_exact(&mut bytes).unwrap();
         assert!(
             bytes.ends_with(b"vvv"),
-            "while its host waits to be told to go on"
+            "first half of the value while its host is paused"
         );
     };
     let mut whole = gateway.client();
@@ -43,7 +44,7 @@
     let mut truncated = gateway.client();
     whole.send(&long_value_query("1"));
     read_first_part(&mut whole);
-    // A client that stops reading and then leaves: its host has sent no more than the buffers between them hold.
+    // A client stops reading and then disconnects: its host can have sent no more than the buffers between them hold.
     leaving.send(&long_value_query("2"));
     read_first_part(&mut leaving);
     host.resume();
@@ -51,7 +52,7 @@
     host.wait_for_event("closed");
     host.events
         .update(|s| assert!(!s.iter().any(|l| l.ends_with("sent")), "{s:?}"));
-    // The other value arrives whole, and both of its connections can be used again.
+    // The other value arrives complete, and both client connections can be used again.
     let mut rest = vec![0; LENGTH + HEADER_LENGTH - FIRST_PART];
     whole.stream.read_exact(&mut rest).unwrap();
     assert!(rest.iter().all(|&b| b == b'v'));
