--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -1,4 +1,4 @@
-//! The platform's configuration file and the environment: what is taken, and what is said of what is not.
+//! The platform's configuration file and the environment: what is accepted, and the messages for what is rejected.
 
 use crate::harness::gateway::base_settings;
 use crate::program::{configuration, outcome, refusal, Folder, Nowhere, Program};
@@ -6,16 +6,17 @@
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 
-/// What becomes of a configuration of this text, to the letter.
-fn exactly_of_text(text: &str) -> String {
+/// The exact outcome of starting with a configuration of this text.
+fn exact_outcome_of_text(text: &str) -> String {
     let folder = Folder::new();
-    let path = folder.file("config.json", text);
+    let path = folder.write_file("config.json", text);
     outcome(&folder, &[("BALANCER_CONFIG", &path)])
 }
 
-/// Likewise, with NAME for the name of a structure in the program, of which one test below has them all.
-fn of_text(text: &str) -> String {
-    let said = exactly_of_text(text);
+/// The outcome of starting with a configuration of this text, with the names of Rust structs replaced by NAME. One test
+/// below checks all of these names.
+fn outcome_of_text(text: &str) -> String {
+    let said = exact_outcome_of_text(text);
     let Some((before, after)) = said.split_once("expected struct ") else {
         return said;
     };
@@ -25,16 +26,16 @@
     format!("{before}expected struct NAME{}", &after[name..])
 }
 
-/// A whole configuration. Its text has always the same length: places in it are told by column.
-fn whole() -> Value {
+/// A complete configuration. Its text always has the same length, because error messages name places in it by column.
+fn valid_configuration() -> Value {
     configuration(SocketAddr::from(([127, 0, 0, 1], 1)))
 }
 
-/// One in which one value is another, or missing.
+/// The outcome of starting with a configuration in which one value is replaced, or removed if `value` is `None`.
 fn with(pointer: &str, value: Option<Value>) -> String {
-    let mut config = whole();
+    let mut config = valid_configuration();
     set(&mut config, pointer, value);
-    of_text(&config.to_string())
+    outcome_of_text(&config.to_string())
 }
 
 fn set(config: &mut Value, pointer: &str, value: Option<Value>) {
@@ -47,8 +48,8 @@
     }
 }
 
-/// A line for each of these changes, with what becomes of it.
-fn each(changes: Vec<(&str, Option<Value>)>) -> String {
+/// A line for each of these changes, with the outcome of starting with it.
+fn outcome_of_each(changes: Vec<(&str, Option<Value>)>) -> String {
     let lines = changes.into_iter().map(|(pointer, value)| {
         let what = value
             .as_ref()
@@ -59,15 +60,15 @@
 }
 
 #[test]
-fn without_a_path_or_a_file_that_can_be_read_the_start_is_refused() {
+fn a_missing_path_or_an_unreadable_file_is_refused() {
     let folder = Folder::new();
-    let bytes = folder.at("bytes.json");
+    let bytes = folder.path_of("bytes.json");
     std::fs::write(&bytes, b"{\"name\": \"\xff\"}").unwrap();
     let mut said = vec![refusal(&folder, &[])];
     for path in [
         String::new(),
-        folder.at("missing.json"),
-        folder.at(""),
+        folder.path_of("missing.json"),
+        folder.path_of(""),
         bytes,
     ] {
         said.push(refusal(&folder, &[("BALANCER_CONFIG", &path)]));
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_json_or_no_object_is_refused_with_its_place() {
+fn a_file_that_is_not_json_or_not_an_object_is_refused_with_the_place_of_the_error() {
     let texts = [
         "",
         "{\n  \"name\": \"n0\",\n}",
@@ -92,7 +93,7 @@
         "\"n0\"",
         "{\"seed\": \"1\", \"seed\": \"2\"}",
     ];
-    let said = texts.map(|text| format!("{text:?}: {}", of_text(text).trim_end()));
+    let said = texts.map(|text| format!("{text:?}: {}", outcome_of_text(text).trim_end()));
     assert_snapshot!(said.join("\n"), @r#"
     "": irisrouter: FOLDER/config.json: EOF while parsing a value at line 1 column 0
     "{\n  \"name\": \"n0\",\n}": irisrouter: FOLDER/config.json: trailing comma at line 3 column 1
@@ -116,7 +117,7 @@
         "settings",
     ];
     let paths = keys.map(|key| format!("/{key}"));
-    assert_snapshot!(each(paths.iter().map(|p| (p.as_str(), None)).collect()), @r#"
+    assert_snapshot!(outcome_of_each(paths.iter().map(|p| (p.as_str(), None)).collect()), @r#"
     /name missing: starts
     /listen missing: irisrouter: FOLDER/config.json: no address: neither BALANCER_LISTEN nor the configuration has one
     /discovery missing: irisrouter: FOLDER/config.json: no address: neither BALANCER_DISCOVERY nor the configuration has one
@@ -159,7 +160,7 @@
         ("/settings", Some(json!(null))),
         ("/unknown", Some(json!(1))),
     ];
-    assert_snapshot!(each(changes), @r#"
+    assert_snapshot!(outcome_of_each(changes), @r#"
     /name 7: irisrouter: FOLDER/config.json: invalid type: integer `7`, expected a string at line 1 column 124
     /listen ["127.0.0.1:0"]: irisrouter: FOLDER/config.json: invalid type: sequence, expected a string at line 1 column 102
     /discovery {}: irisrouter: FOLDER/config.json: invalid type: map, expected a string at line 1 column 37
@@ -251,7 +252,7 @@
 }
 
 #[test]
-fn a_bad_address_is_refused_with_the_name_of_its_variable_from_wherever_it_comes() {
+fn an_invalid_address_in_the_file_or_the_environment_is_refused_with_the_name_of_its_variable() {
     let mut said = Vec::new();
     for key in ["listen", "discovery", "console"] {
         for bad in ["", "127.0.0.1", "localhost:5432", "127.0.0.1:65536"] {
@@ -262,9 +263,9 @@
         }
     }
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let path = folder.file("config.json", &configuration(nowhere.address()).to_string());
+    let path = folder.write_file("config.json", &configuration(nowhere.address()).to_string());
     for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONSOLE"] {
-        // One that is empty is none.
+        // A variable with an empty value counts as unset.
         for value in ["", "nowhere"] {
             let told = outcome(&folder, &[("BALANCER_CONFIG", &path), (name, value)]);
             said.push(format!("{name}={value:?}: {}", told.trim_end()));
@@ -274,7 +275,7 @@
     for key in ["listen", "discovery", "console", "name"] {
         bare.as_object_mut().unwrap().remove(key);
     }
-    let path = folder.file("config.json", &bare.to_string());
+    let path = folder.write_file("config.json", &bare.to_string());
     said.push(outcome(
         &folder,
         &[
@@ -313,7 +314,7 @@
 
     starts
     "#);
-    // All that the file lacks is from the environment.
+    // The environment supplies all values that the file lacks.
     let program = Program::start(&all, None);
     assert!(program
         .rest_of_line("irisrouter: n7 listens on ")
@@ -328,7 +329,7 @@
         std::net::TcpListener::bind("127.0.0.1:0").unwrap(),
     );
     let at = taken.local_addr().unwrap().to_string();
-    let path = folder.file(
+    let path = folder.write_file(
         "config.json",
         &configuration(taken.local_addr().unwrap()).to_string(),
     );
@@ -349,7 +350,7 @@
 fn limits_too_small_to_serve_are_refused_and_large_ones_are_taken() {
     let sockets = [0, 64, 66, 67, 1_000_000].map(|n| ("/limits/sockets", Some(json!(n))));
     let memory = [0, 1, 1_000_000].map(|n| ("/limits/memory_mb", Some(json!(n))));
-    assert_snapshot!(each([&sockets[..], &memory].concat()), @r#"
+    assert_snapshot!(outcome_of_each([&sockets[..], &memory].concat()), @r#"
     /limits/sockets 0: irisrouter: 0 descriptors are too few
     /limits/sockets 64: irisrouter: 64 descriptors are too few
     /limits/sockets 66: irisrouter: 66 descriptors are too few
@@ -373,7 +374,7 @@
         "-1",
         " 1",
     ];
-    assert_snapshot!(each(seeds.map(|s| ("/seed", Some(json!(s)))).into()), @r#"
+    assert_snapshot!(outcome_of_each(seeds.map(|s| ("/seed", Some(json!(s)))).into()), @r#"
     /seed "": irisrouter: FOLDER/config.json: seed : cannot parse integer from empty string
     /seed "0": starts
     /seed "ffffffffffffffff": starts
@@ -385,7 +386,7 @@
     "#);
 }
 
-/// All keys of the settings, those of a list's entries by its first one.
+/// Collects the paths of all keys of the settings. The first entry of a list stands for all of its entries.
 fn keys_of(value: &Value, at: &str, all: &mut Vec<String>) {
     match value {
         Value::Object(object) => object.iter().for_each(|(key, value)| {
@@ -400,8 +401,8 @@
     }
 }
 
-/// The settings with each key that may be absent, too.
-fn whole_settings() -> Value {
+/// The settings with all optional keys present.
+fn settings_with_optional_keys() -> Value {
     let mut whole = base_settings();
     whole["Me"] = json!(0);
     whole["Bounds"]["Peers"] = json!(false);
@@ -411,12 +412,13 @@
     whole
 }
 
-/// A line for each key: what becomes of settings without it, and of settings in which it is no value of its type.
+/// Compares a line for each key: the outcome of settings without it, and of settings in which its value has the wrong
+/// type.
 #[test]
 fn each_key_of_the_settings_that_is_missing_or_of_another_type_has_the_outcome_of_the_fixture() {
-    let mut whole = whole();
-    whole["settings"] = whole_settings();
-    assert_eq!(of_text(&whole.to_string()), "starts");
+    let mut whole = valid_configuration();
+    whole["settings"] = settings_with_optional_keys();
+    assert_eq!(outcome_of_text(&whole.to_string()), "starts");
     let mut keys = Vec::new();
     keys_of(&whole["settings"], "/settings", &mut keys);
     let mut lines = Vec::new();
@@ -432,16 +434,16 @@
             set(&mut changed, &key, value);
             lines.push(format!(
                 "{key} {what}: {}\n",
-                of_text(&changed.to_string()).trim_end()
+                outcome_of_text(&changed.to_string()).trim_end()
             ));
         }
     }
-    crate::program::same_as_fixture("settings-keys.txt", &lines.concat());
+    crate::program::assert_equals_fixture("settings-keys.txt", &lines.concat());
 }
 
-/// The names of structures in the program that a refusal tells. Whoever reads the log sees them, though they mean nothing to it.
+/// Checks the names of Rust structs in error messages. They appear in the log although they mean nothing to its reader.
 #[test]
-fn a_structure_that_is_no_object_is_refused_with_the_name_that_it_has_in_the_program() {
+fn a_value_that_is_not_an_object_is_refused_with_the_name_of_its_rust_struct() {
     let names = [
         "/limits",
         "/known",
@@ -453,15 +455,15 @@
         "/settings/Rules",
         "/settings/Classes/0",
     ];
-    let mut said = vec![exactly_of_text("5")];
+    let mut said = vec![exact_outcome_of_text("5")];
     said.extend(names.map(|pointer| {
-        let mut config = whole();
+        let mut config = valid_configuration();
         set(&mut config, pointer, Some(json!(5)));
-        exactly_of_text(&config.to_string())
+        exact_outcome_of_text(&config.to_string())
     }));
-    let mut config = whole();
+    let mut config = valid_configuration();
     config["settings"]["Tenants"] = json!([5]);
-    said.push(exactly_of_text(&config.to_string()));
+    said.push(exact_outcome_of_text(&config.to_string()));
     assert_snapshot!(said.join(""), @r#"
     irisrouter: FOLDER/config.json: invalid type: integer `5`, expected struct File at line 1 column 1
     irisrouter: FOLDER/config.json: invalid type: integer `5`, expected struct Limits at line 1 column 61
@@ -478,7 +480,7 @@
 }
 
 #[test]
-fn settings_with_which_nothing_could_be_answered_are_refused_with_the_reason() {
+fn settings_with_which_no_request_could_be_answered_are_refused_with_the_reason() {
     let day = 86_400_000_000_000i64;
     let changes = vec![
         ("/settings/Balancers", Some(json!(0))),
@@ -512,7 +514,7 @@
         ("/settings/MyZone", Some(json!("another"))),
         ("/settings/Zones", Some(json!([]))),
     ];
-    assert_snapshot!(each(changes), @r#"
+    assert_snapshot!(outcome_of_each(changes), @r#"
     /settings/Balancers 0: irisrouter: FOLDER/config.json: settings: no attempts, no classes or no gateways
     /settings/Balancers -1: irisrouter: FOLDER/config.json: settings: invalid value: integer `-1`, expected u32
     /settings/Classes []: irisrouter: FOLDER/config.json: settings: no attempts, no classes or no gateways
@@ -541,7 +543,7 @@
 }
 
 #[test]
-fn peers_that_do_not_fit_are_told_and_the_gateway_starts_without_them() {
+fn invalid_peers_are_logged_and_the_gateway_starts_without_them() {
     let nowhere = Nowhere::new();
     let folder = Folder::new();
     let whole = {
@@ -580,7 +582,7 @@
     "#);
 }
 
-/// The files that are read after SIGHUP, one after the other: thirteen that cannot be used, and eight that can.
+/// The configuration files that are read after SIGHUP, one after the other: thirteen invalid ones and eight valid ones.
 fn reloaded_files(config: &Value, elsewhere: &str) -> Vec<String> {
     let changed = |pointer: &str, value: Option<Value>| {
         let mut changed = config.clone();
@@ -616,28 +618,29 @@
     ]
 }
 
-/// Has the program read each file, and waits until its log has an outcome for each.
+/// Makes the program read each file, and waits until its log has an outcome for each.
 fn reload_each(program: &Program, folder: &Folder, files: &[String]) {
     for (n, file) in files.iter().enumerate() {
-        folder.file("config.json", file);
+        folder.write_file("config.json", file);
         program.signal("-HUP");
-        program.said.wait_for("a word on the file", |s| {
-            // The log leaves lines out where there are more than 20 a second.
+        program.said.wait_for("the outcome of the file", |s| {
+            // The log drops lines beyond 20 per second.
             assert!(!s.ended && !s.text.contains("left out"), "{}", s.text);
-            let words = ["the old configuration holds", "configuration read again"];
-            let told = s
+            let outcomes = ["the old configuration holds", "configuration read again"];
+            let reported = s
                 .text
                 .lines()
-                .filter(|l| words.iter().any(|w| l.contains(w)))
+                .filter(|l| outcomes.iter().any(|outcome| l.contains(outcome)))
                 .count();
-            (told > n).then_some(())
+            (reported > n).then_some(())
         });
         std::thread::sleep(std::time::Duration::from_millis(100));
     }
 }
 
 #[test]
-fn after_sighup_a_bad_file_is_told_with_its_reason_and_a_good_one_with_what_waits() {
+fn after_sighup_an_invalid_file_is_logged_with_its_reason_and_a_valid_one_with_the_keys_that_need_a_restart(
+) {
     let (folder, nowhere, elsewhere) = (Folder::new(), Nowhere::new(), Nowhere::new());
     let config = configuration(nowhere.address());
     let program = Program::with(&folder, &config);
--- a/tests/compatibility/console.rs
+++ b/tests/compatibility/console.rs
@@ -1,23 +1,23 @@
-//! The operators' console: every call, and the exact text of its answer.
+//! The operators' console: each call, and the exact text of its answer.
 
 use crate::harness::{
     discovery::Discovery,
     host::{Host, HostReply},
     TEST_TIMEOUT,
 };
-use crate::program::{configuration, Folder, Nowhere, Program, LOOK};
+use crate::program::{configuration, Folder, Nowhere, Program, POLL_INTERVAL};
 use insta::assert_snapshot;
 use serde_json::{json, Value};
 use std::net::{SocketAddr, UdpSocket};
 use std::thread::{scope, sleep};
 use std::time::Instant;
 
-/// A configuration of the first of so many gateways, the others of which are silent, in the first of two zones; and the
-/// socket that hears what is sent to all.
-pub fn fleet(nowhere: &Nowhere, gateways: usize) -> (Value, UdpSocket) {
+/// Returns the configuration of the first of `gateways` gateways, in the first of two zones, and the socket that
+/// receives the datagrams addressed to all gateways. The other gateways never answer.
+pub fn fleet_configuration(nowhere: &Nowhere, gateways: usize) -> (Value, UdpSocket) {
     let all = UdpSocket::bind("127.0.0.1:0").unwrap();
     let mut config = configuration(nowhere.address());
-    // The own address is not asked for by anybody; nobody listens at the others.
+    // No other gateway uses the first address; nothing listens at the others.
     let mut peers = vec!["127.0.0.1:0".to_string()];
     peers.extend((1..gateways).map(|n| format!("127.0.1.{n}:1")));
     config["peer_listen"] = json!("127.0.0.1:0");
@@ -32,8 +32,8 @@
 }
 
 fn start(folder: &Folder, config: &Value, operators: &str) -> Program {
-    let config = folder.file("config.json", &config.to_string());
-    let operators = folder.file("operators.jsonnet", operators);
+    let config = folder.write_file("config.json", &config.to_string());
+    let operators = folder.write_file("operators.jsonnet", operators);
     Program::start(
         &[
             ("BALANCER_CONFIG", &config),
@@ -43,31 +43,31 @@
     )
 }
 
-const ON: &str = "{
+const ALL_FEATURES_ON: &str = "{
     membership: { enabled: true, probe_period_ms: 200, stall_ms: 500 },
     takeover: { enabled: true, lease_ms: 500 },
     sites: { enabled: true, capacity_per_s: 100 },
 }";
 
-fn row(_: usize, _: &str) -> HostReply {
+fn reply_with_row(_: usize, _: &str) -> HostReply {
     HostReply::Row("a1b2")
 }
 
-/// The answer once it is as wanted.
-fn call_until(program: &Program, call: &str, wanted: impl Fn(&str) -> bool) -> String {
-    let by = Instant::now() + TEST_TIMEOUT;
+/// Repeats the call until its answer fulfils the condition, and returns that answer.
+fn call_until(program: &Program, call: &str, condition: impl Fn(&str) -> bool) -> String {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
         let answer = program.call(call);
-        if wanted(&answer) {
+        if condition(&answer) {
             return answer;
         }
-        assert!(Instant::now() < by, "waited in vain: {call}: {answer}");
-        sleep(LOOK);
+        assert!(Instant::now() < deadline, "timed out: {call}: {answer}");
+        sleep(POLL_INTERVAL);
     }
 }
 
-/// The text with every run of digits as N.
-fn without_figures(text: &str) -> String {
+/// The text with each run of digits replaced by N.
+fn without_digits(text: &str) -> String {
     let mut out = String::new();
     for c in text.chars() {
         match c {
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn with_all_features_off_each_call_has_its_text() {
+fn answers_of_all_calls_with_all_features_off() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
     let program = Program::with(&folder, &configuration(nowhere.address()));
     let _ = program.address();
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn an_unknown_call_is_told_which_calls_there_are() {
+fn an_unknown_call_is_answered_with_the_list_of_calls() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
     let program = Program::with(&folder, &configuration(nowhere.address()));
     let unknown = program.call("help\n");
@@ -145,7 +145,7 @@
     ] {
         assert_eq!(program.call(call), unknown, "{call:?}");
     }
-    // One line is answered, whatever follows it.
+    // Only the first line is answered, whatever follows it.
     assert_eq!(program.call("help\nreadyz\n"), unknown);
 }
 
@@ -163,16 +163,16 @@
     );
 }
 
-/// A process that inherits its listener waits for discovery for a second before it takes clients.
+/// A process that inherits its listener waits for discovery for up to one second before it accepts clients.
 #[test]
-fn a_process_that_waits_for_discovery_says_that_it_starts_and_then_that_it_is_ready() {
-    // On a busy machine the second may be over before the first call comes in.
+fn a_process_that_waits_for_discovery_answers_starting_and_then_ready() {
+    // On a busy machine that second may have passed before the first call arrives.
     let found = (0..10).any(|_| {
         let folder = Folder::new();
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let silent = Discovery::start(vec![]);
         silent.published.update(|p| p.revision = 0);
-        let config = folder.file("config.json", &configuration(silent.address).to_string());
+        let config = folder.write_file("config.json", &configuration(silent.address).to_string());
         let variables = [
             ("BALANCER_CONFIG", &*config),
             ("BALANCER_PASSED_SOCKET", "3"),
@@ -183,15 +183,15 @@
         assert_eq!(ready, "+OK ready\n");
         first == "-ERR starting\n"
     });
-    assert!(found, "none said that it starts");
+    assert!(found, "no process answered that it starts");
 }
 
 #[test]
-fn a_process_that_stops_says_so_whether_it_serves_or_sends_clients_away() {
+fn a_stopping_process_answers_stopping_whether_it_was_active_or_drained() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
     for before in ["activate\n", "evacuate\n"] {
         let program = Program::with(&folder, &configuration(nowhere.address()));
-        // It stays for as long as a client does, within bounds.
+        // The stopping process waits for its clients to disconnect, up to a time limit.
         let _client = program.client();
         program.call(before);
         program.signal("-TERM");
@@ -200,12 +200,12 @@
         assert_eq!(program.call("activate\n"), "-ERR stopping\n");
         assert_eq!(program.call("evacuate\n"), "+OK clients are sent away\n");
         assert_eq!(program.call("readyz\n"), "-ERR stopping\n");
-        assert_eq!(program.end().0, Some(0));
+        assert_eq!(program.wait_for_exit().0, Some(0));
     }
 }
 
-/// Hosts of two zones in a list that the gateway knows from its start.
-fn with_hosts(config: &mut Value, hosts: &[(&str, SocketAddr, &str, f64)]) {
+/// Sets the list that the gateway knows from its start to these hosts.
+fn set_known_hosts(config: &mut Value, hosts: &[(&str, SocketAddr, &str, f64)]) {
     let members = hosts.iter().map(|(id, at, zone, size)| {
         json!({"id": id, "host_port": at.to_string(), "locality": zone, "cell": 2, "phase": "in_service", "size": size})
     });
@@ -214,17 +214,16 @@
 }
 
 #[test]
-fn a_gateway_alone_with_all_features_on_tells_its_members_its_duties_and_that_no_plan_is_in_force()
-{
+fn a_single_gateway_with_all_features_on_answers_with_its_members_and_duties_and_no_plan() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let host = Host::start("s-1", true, row);
-    let (mut config, _all) = fleet(&nowhere, 1);
-    with_hosts(&mut config, &[("s-1", host.address, "a", 1.0)]);
-    let program = start(&folder, &config, ON);
+    let host = Host::start("s-1", true, reply_with_row);
+    let (mut config, _all) = fleet_configuration(&nowhere, 1);
+    set_known_hosts(&mut config, &[("s-1", host.address, "a", 1.0)]);
+    let program = start(&folder, &config, ALL_FEATURES_ON);
     let members = program.call("members\n");
     let told =
         "+OK membership reachable=N of N majority=true alone=true answered=N/N N:alive/N/N/Ns/-\n";
-    assert_eq!(without_figures(&members), told);
+    assert_eq!(without_digits(&members), told);
     assert!(
         members.starts_with("+OK membership reachable=1 of 1 "),
         "{members}"
@@ -232,7 +231,7 @@
     let owned = call_until(&program, "duties\n", |a| {
         a.starts_with("+OK duties owned=2 ")
     });
-    assert_eq!(without_figures(&owned), "+OK duties owned=N N:N plan:N\n");
+    assert_eq!(without_digits(&owned), "+OK duties owned=N N:N plan:N\n");
     assert!(
         owned.starts_with("+OK duties owned=2 2:"),
         "the set of the list: {owned}"
@@ -251,21 +250,21 @@
 }
 
 #[test]
-fn a_host_is_drained_and_put_back_by_a_gateway_alone() {
+fn a_host_is_drained_and_put_back_by_a_single_gateway() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
     let hosts = [
-        Host::start("s-1", true, row),
-        Host::start("s-2", false, row),
+        Host::start("s-1", true, reply_with_row),
+        Host::start("s-2", false, reply_with_row),
     ];
-    let (mut config, _all) = fleet(&nowhere, 1);
-    with_hosts(
+    let (mut config, _all) = fleet_configuration(&nowhere, 1);
+    set_known_hosts(
         &mut config,
         &[
             ("s-1", hosts[0].address, "a", 1.0),
             ("s-2", hosts[1].address, "b", 1.0),
         ],
     );
-    let program = start(&folder, &config, ON);
+    let program = start(&folder, &config, ALL_FEATURES_ON);
     let said = program.call("drain s-2\n");
     assert_eq!(
         said,
@@ -296,7 +295,7 @@
 }
 
 #[test]
-fn a_host_with_a_request_open_is_told_as_draining_with_their_number() {
+fn a_host_with_an_open_request_is_listed_as_draining_with_the_number_of_open_requests() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
     let slow = |_, text: &str| {
         if text.contains("slow") {
@@ -307,19 +306,19 @@
     };
     let hosts = [
         Host::start("s-1", true, slow),
-        Host::start("s-2", false, row),
+        Host::start("s-2", false, reply_with_row),
     ];
-    let (mut config, _all) = fleet(&nowhere, 1);
-    with_hosts(
+    let (mut config, _all) = fleet_configuration(&nowhere, 1);
+    set_known_hosts(
         &mut config,
         &[
             ("s-1", hosts[0].address, "a", 1.0),
             ("s-2", hosts[1].address, "b", 1.0),
         ],
     );
-    let program = start(&folder, &config, ON);
+    let program = start(&folder, &config, ALL_FEATURES_ON);
     let mut client = program.client();
-    // A keyed write goes to the primary and stays there.
+    // A keyed write is sent to the primary and stays open there.
     client.send(&crate::harness::messages::query_message(
         &crate::harness::messages::statement("order", 15_000).replace("7f3a", "slow"),
     ));
@@ -333,21 +332,21 @@
 }
 
 #[test]
-fn a_word_that_no_majority_follows_is_told_as_such_and_a_second_word_takes_its_place() {
+fn a_drain_command_without_a_majority_is_reported_as_such_and_a_second_command_replaces_it() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
     let hosts = [
-        Host::start("s-1", true, row),
-        Host::start("s-2", false, row),
+        Host::start("s-1", true, reply_with_row),
+        Host::start("s-2", false, reply_with_row),
     ];
-    let (mut config, _all) = fleet(&nowhere, 3);
-    with_hosts(
+    let (mut config, _all) = fleet_configuration(&nowhere, 3);
+    set_known_hosts(
         &mut config,
         &[
             ("s-1", hosts[0].address, "a", 1.0),
             ("s-2", hosts[1].address, "b", 1.0),
         ],
     );
-    let program = start(&folder, &config, ON);
+    let program = start(&folder, &config, ALL_FEATURES_ON);
     let (first, second) = scope(|s| {
         let first = s.spawn(|| program.call("drain s-2\n"));
         program.rest_of_line("drains: s-2 is taken out of service by the command of gateway 0");
@@ -362,7 +361,7 @@
     let members = call_until(&program, "members\n", |a| a.contains("majority=false"));
     let told =
         "+OK membership reachable=N of N majority=false alone=true answered=N/N N:alive/N/N/Ns/-\n";
-    assert_eq!(without_figures(&members), told);
+    assert_eq!(without_digits(&members), told);
     assert!(
         members.starts_with("+OK membership reachable=1 of 3 "),
         "{members}"
@@ -370,24 +369,24 @@
     assert_eq!(program.call("duties\n"), "+OK duties owned=0 \n");
 }
 
-/// Guards against other default figures of plans, too: a budget of 0.85 and a ramp from 0.15.
+/// Also guards against changed defaults of site plans: a budget of 0.85 and a ramp from 0.15.
 #[test]
-fn a_zone_whose_hosts_are_silent_is_lost_in_the_plan_that_is_told() {
+fn a_zone_whose_hosts_are_silent_is_lost_in_the_plan() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (host, silent) = (Host::start("s-1", true, row), Nowhere::new());
-    let (mut config, _all) = fleet(&nowhere, 1);
-    with_hosts(
+    let (host, silent) = (Host::start("s-1", true, reply_with_row), Nowhere::new());
+    let (mut config, _all) = fleet_configuration(&nowhere, 1);
+    set_known_hosts(
         &mut config,
         &[
             ("s-1", host.address, "a", 1.0),
             ("s-2", silent.address(), "b", 2.0),
         ],
     );
-    let program = start(&folder, &config, ON);
-    // The first plan that names it, which is followed as soon as it is made.
+    let program = start(&folder, &config, ALL_FEATURES_ON);
+    // The first plan that names the zone, which the gateway follows as soon as it is made.
     let plan = call_until(&program, "plan\n", |a| a.contains("b=lost"));
     let (head, rest) = plan.split_once(" a=").unwrap();
-    assert_eq!(without_figures(head), "+OK plan N.N");
+    assert_eq!(without_digits(head), "+OK plan N.N");
     assert_eq!(
         rest,
         "up,budget=85,ramp=1.00,goes=a:1.00 b=lost,budget=0,ramp=0.15,goes=b:1.00 admits= pause=2000ms\n"
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -1,6 +1,6 @@
-//! Hand-over between two versions: what a process writes to a newer one, and what it takes from an older one.
+//! Hand-over between two versions: what a process sends to a newer one, and what it accepts from an older one.
 //!
-//! `fixtures/hand-over-document.json` is the line that a process of this version wrote in the scene below, as it came.
+//! `fixtures/hand-over-document.json` is the unmodified line that a process of this version wrote in the deployment below.
 
 use crate::harness::{
     client::Client,
@@ -9,7 +9,7 @@
     messages::statement,
     TEST_TIMEOUT,
 };
-use crate::program::{configuration, Folder, Nowhere, Program, LOOK};
+use crate::program::{configuration, Folder, Nowhere, Program, POLL_INTERVAL};
 use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -19,10 +19,10 @@
 use std::time::Instant;
 
 const DOCUMENT: &str = include_str!("fixtures/hand-over-document.json");
-/// The meeting place, in the folder that TMPDIR names.
+/// File name of the hand-over socket, in the directory that TMPDIR names.
 const SOCKET: &str = "irisrouter.sock";
-/// Of what is known of a member, what is the newer process's own.
-const OWN: [&str; 12] = [
+/// Keys of a member's record that the newer process sets itself and does not take over.
+const KEYS_NOT_TAKEN_OVER: [&str; 12] = [
     "group",
     "zone",
     "size",
@@ -41,19 +41,19 @@
     serde_json::from_str(DOCUMENT).unwrap()
 }
 
-fn row(_: usize, _: &str) -> HostReply {
+fn reply_with_row(_: usize, _: &str) -> HostReply {
     HostReply::Row("a1b2")
 }
 
-/// Three hosts: a replica, a primary of another zone that has started lately, and one of another set that drains.
-struct Scene {
+/// Three hosts: a replica, a primary of another zone that was started later, and one of another group that drains.
+struct Deployment {
     hosts: [Host; 3],
 }
 
-impl Scene {
+impl Deployment {
     fn new() -> Self {
-        let host = |id, primary| Host::start(id, primary, row);
-        Scene {
+        let host = |id, primary| Host::start(id, primary, reply_with_row);
+        Deployment {
             hosts: [host("s-1", false), host("s-2", true), host("s-3", false)],
         }
     }
@@ -71,7 +71,7 @@
         ]
     }
 
-    /// The fixture, with the hosts' addresses of this run.
+    /// The fixture with the host addresses of this run.
     fn document(&self) -> Value {
         let mut document = document();
         for (n, host) in self.hosts.iter().enumerate() {
@@ -81,7 +81,7 @@
     }
 }
 
-/// The clients' socket and the folder, as a platform passes them to each process of a gateway.
+/// The clients' socket and the shared folder that a platform passes to each process of a gateway.
 struct Platform {
     folder: Folder,
     listener: TcpListener,
@@ -96,7 +96,7 @@
     }
 
     fn start(&self, config: &Value) -> Program {
-        let path = self.folder.file("config.json", &config.to_string());
+        let path = self.folder.write_file("config.json", &config.to_string());
         let folder = self.folder.path().to_str().unwrap();
         let variables = [
             ("BALANCER_CONFIG", &*path),
@@ -106,27 +106,29 @@
         Program::start(&variables, Some(&self.listener))
     }
 
-    /// Plays the older process: hands this over to whoever comes first, and then hears that one on the connection.
-    fn older(&self, document: &str) -> Receiver<BufReader<UnixStream>> {
-        let listener = UnixListener::bind(self.folder.at(SOCKET)).unwrap();
-        let (tell, connection) = channel();
+    /// Plays the older process: sends the document to the first process that connects. The returned channel yields the
+    /// connection, on which the newer process reports what it holds.
+    fn play_older(&self, document: &str) -> Receiver<BufReader<UnixStream>> {
+        let listener = UnixListener::bind(self.folder.path_of(SOCKET)).unwrap();
+        let (sender, connection) = channel();
         let line = format!("{document}\n");
-        // The newer process waits for half a second only, from when it has connected.
+        // The newer process waits for only half a second after it has connected.
         spawn(move || {
             let mut stream = listener.accept().unwrap().0;
             stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
             stream.write_all(line.as_bytes()).unwrap();
-            let _ = tell.send(BufReader::new(stream));
+            let _ = sender.send(BufReader::new(stream));
         });
         connection
     }
 
-    /// Plays the newer process: what is handed over, as it comes, and the connection on which it came.
-    fn newer(&self) -> (String, BufReader<UnixStream>) {
-        let by = Instant::now() + TEST_TIMEOUT;
+    /// Plays the newer process: returns the line that is handed over, unmodified, and the connection on which it was
+    /// received.
+    fn play_newer(&self) -> (String, BufReader<UnixStream>) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            // Between two newer processes there is nobody for a moment.
-            if let Ok(stream) = UnixStream::connect(self.folder.at(SOCKET)) {
+            // Between two newer processes the socket accepts no connections for a moment.
+            if let Ok(stream) = UnixStream::connect(self.folder.path_of(SOCKET)) {
                 stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
                 let mut stream = BufReader::new(stream);
                 let mut line = String::new();
@@ -134,21 +136,27 @@
                     return (line, stream);
                 }
             }
-            assert!(Instant::now() < by, "nobody hands over");
-            sleep(LOOK);
+            assert!(
+                Instant::now() < deadline,
+                "no process hands over a document"
+            );
+            sleep(POLL_INTERVAL);
         }
     }
 
-    /// What is handed over once this holds of it.
-    fn handed(&self, what: &str, holds: impl Fn(&Value) -> bool) -> Value {
-        let by = Instant::now() + TEST_TIMEOUT;
+    /// Requests hand-overs until a document fulfils the condition, and returns that document.
+    fn wait_for_document(&self, what: &str, condition: impl Fn(&Value) -> bool) -> Value {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         loop {
-            let document: Value = serde_json::from_str(&self.newer().0).unwrap();
-            if holds(&document) {
+            let document: Value = serde_json::from_str(&self.play_newer().0).unwrap();
+            if condition(&document) {
                 return document;
             }
-            assert!(Instant::now() < by, "waited in vain: {what}: {document}");
-            sleep(LOOK);
+            assert!(
+                Instant::now() < deadline,
+                "timed out waiting for {what}: {document}"
+            );
+            sleep(POLL_INTERVAL);
         }
     }
 }
@@ -159,7 +167,7 @@
     serde_json::from_str(&line).unwrap()
 }
 
-/// The keys and the kinds of values, at every level and place. Whether a number is whole is part of its kind.
+/// The keys and the kinds of the values at every level. Integers and other numbers are different kinds.
 fn shape(value: &Value) -> Value {
     match value {
         Value::Object(object) => object.iter().map(|(k, v)| (k.clone(), shape(v))).collect(),
@@ -172,52 +180,55 @@
     }
 }
 
-/// A client's requests: 5 reads, 3 keyed writes and one that must not run twice.
-fn ask(client: &mut Client) {
+/// Sends 5 reads, 3 keyed writes and one request that must not run twice.
+fn send_requests(client: &mut Client) {
     for class in [
         "order", "read", "read", "once", "order", "read", "read", "order", "read",
     ] {
-        let told = client.query(&statement(class, 9_000));
-        assert!(told.contains("a1b2"), "{class}: {told}");
+        let answer = client.query(&statement(class, 9_000));
+        assert!(answer.contains("a1b2"), "{class}: {answer}");
     }
 }
 
-/// A process of this version that has served some requests, with the document that it writes then.
-fn written() -> (Scene, Value, String) {
-    let scene = Scene::new();
-    let discovery = Discovery::start(scene.members());
+/// Runs a process until it has served some requests, and returns the document that it then writes, parsed and as text.
+fn write_document() -> (Deployment, Value, String) {
+    let deployment = Deployment::new();
+    let discovery = Discovery::start(deployment.members());
     discovery.published.update(|p| p.revision = 7);
     let platform = Platform::new();
     let program = platform.start(&configuration(discovery.address));
-    // From the second call on the list is known.
+    // The second request shows that the process has received the list.
     discovery
         .requests
-        .wait_for("a second call", |c| c.get(1).cloned());
+        .wait_for("a second request", |c| c.get(1).cloned());
     let mut client = program.client();
-    ask(&mut client);
-    // The module hears of an answer a moment after the client.
-    let by = Instant::now() + TEST_TIMEOUT;
+    send_requests(&mut client);
+    // The module records an answer a moment after the client has received it.
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        let line = platform.newer().0;
+        let line = platform.play_newer().0;
         let document: Value = serde_json::from_str(&line).unwrap();
         let told = document["lore"]["told"] == json!([5.0, 3.0, 1.0, 0.0]);
-        let rests = |n| {
+        let is_idle = |n| {
             member(&document, n)["outstanding"] == json!(0)
                 && member(&document, n)["probe_out"] == json!(false)
         };
-        let settled = told && (0..3).all(rests);
+        let settled = told && (0..3).all(is_idle);
         if settled {
-            return (scene, document, line);
+            return (deployment, document, line);
         }
-        assert!(Instant::now() < by, "not all is heard: {document}");
-        sleep(LOOK);
+        assert!(
+            Instant::now() < deadline,
+            "the document lacks some results: {document}"
+        );
+        sleep(POLL_INTERVAL);
     }
 }
 
 #[test]
 fn the_document_handed_to_a_newer_process_has_the_keys_and_kinds_of_the_fixture_at_every_level() {
-    let (_, document, line) = written();
-    // One line, and no value of another text than the parser's own.
+    let (_, document, line) = write_document();
+    // The document is a single line.
     assert!(line.ends_with('\n') && line.matches('\n').count() == 1);
     let keys: Vec<&String> = document.as_object().unwrap().keys().collect();
     assert_eq!(keys, ["classes", "held", "list", "lore", "members"]);
@@ -230,11 +241,11 @@
 
 #[test]
 fn the_document_handed_to_a_newer_process_names_the_list_the_members_and_the_classes() {
-    let (scene, document, line) = written();
+    let (deployment, document, line) = write_document();
     let fixture = self::document();
     assert_eq!(
         document["list"],
-        json!({"revision": 7, "complete": true, "members": scene.members()})
+        json!({"revision": 7, "complete": true, "members": deployment.members()})
     );
     assert_eq!(document["members"], json!(["s-1", "s-2", "s-3"]));
     assert_eq!(document["classes"], json!(["read", "order", "once", "own"]));
@@ -263,40 +274,40 @@
             );
         }
     }
-    // The second is known to be the primary, and by its own words the first is none.
+    // The second member is known to be the primary, and the first has reported that it is a replica.
     let of = |n: usize, key: &str| document["lore"]["members"][n][1][key].as_i64().unwrap();
     assert!(
         of(1, "primary_at") > of(1, "replica_at") && of(1, "position") > 0,
         "{line}"
     );
     assert!(of(0, "replica_at") > of(0, "primary_at"), "{line}");
-    // A client, and 64 descriptors that every process needs for itself.
+    // One client, and 64 descriptors that every process reserves for itself.
     assert_eq!(document["held"]["clients"], json!(65));
     assert!(document["held"]["hosts"].as_u64().unwrap() >= 1);
     assert_eq!(document["held"]["memory"], json!(0));
 }
 
 #[test]
-fn a_process_tells_its_newer_one_what_it_holds_with_the_keys_clients_hosts_and_memory() {
+fn a_process_reports_to_a_newer_one_what_it_holds_with_the_keys_clients_hosts_and_memory() {
     let platform = Platform::new();
     let nowhere = Nowhere::new();
     let program = platform.start(&configuration(nowhere.address()));
-    let (_, mut newer) = platform.newer();
+    let (_, mut newer) = platform.play_newer();
     let whole = |clients: usize| json!({"clients": clients, "hosts": 0, "memory": 0});
     assert_eq!(line_of(&mut newer), whole(64));
     let _client = program.client();
     assert_eq!(line_of(&mut newer), whole(65));
 }
 
-/// A process that has just been handed a document, with its discovery down and no list of its own. It sends no probes: what
-/// it knows of hosts stays as it was handed over.
-fn handed_to(
+/// Starts a process that is handed this document, while its discovery is down and it has no list of its own. It sends
+/// no health checks, so that its knowledge of hosts stays as it was handed over.
+fn start_with_document(
     platform: &Platform,
     nowhere: &Nowhere,
     document: &Value,
     change: impl FnOnce(&mut Value),
 ) -> (Program, BufReader<UnixStream>) {
-    let connection = platform.older(&document.to_string());
+    let connection = platform.play_older(&document.to_string());
     let mut config = configuration(nowhere.address());
     config["settings"]["Bounds"]["Probes"] = json!(false);
     change(&mut config);
@@ -312,12 +323,13 @@
 #[test]
 fn a_process_whose_discovery_is_down_serves_from_the_list_and_the_roles_that_an_older_one_hands_over(
 ) {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let (program, _older) = handed_to(&platform, &nowhere, &scene.document(), |_| {});
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let (program, _older) =
+        start_with_document(&platform, &nowhere, &deployment.document(), |_| {});
     let mut client = program.client();
-    // A write goes to the primary at once, which only the handed-over roles name.
+    // A write is sent to the primary at once, which is known only from the handed-over roles.
     assert!(client.query(&statement("order", 9_000)).contains("a1b2"));
-    let seen = scene.hosts.each_ref().map(|h| h.statements().len());
+    let seen = deployment.hosts.each_ref().map(|h| h.statements().len());
     assert_eq!(seen, [0, 1, 0]);
     for _ in 0..20 {
         assert!(client.query(&statement("read", 9_000)).contains("a1b2"));
@@ -327,18 +339,18 @@
         drained.contains("C53300"),
         "the only host of its set drains: {drained}"
     );
-    assert_eq!(scene.hosts[2].statements().len(), 0);
-    // The older one's discovery is down too: nobody has told of hosts but the document.
+    assert_eq!(deployment.hosts[2].statements().len(), 0);
+    // Discovery is down, so that the document is the only source of the list.
     program.rest_of_line("discovery: no connection");
 }
 
-/// What of a member's record a newer process takes over.
+/// The part of a member's record that a newer process takes over.
 fn taken_over(record: &Value) -> Value {
     let of = record
         .as_object()
         .unwrap()
         .iter()
-        .filter(|(k, _)| !OWN.contains(&k.as_str()));
+        .filter(|(k, _)| !KEYS_NOT_TAKEN_OVER.contains(&k.as_str()));
     of.map(|(k, v)| (k.clone(), v.clone())).collect()
 }
 
@@ -347,18 +359,18 @@
 }
 
 #[test]
-fn what_an_older_process_learnt_is_handed_on_to_the_next_one_as_it_came() {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let given = scene.document();
-    let (_program, _older) = handed_to(&platform, &nowhere, &given, |_| {});
-    let next = platform.handed("what was learnt", |d| {
+fn measurements_of_an_older_process_are_handed_on_unchanged_to_the_next_one() {
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let given = deployment.document();
+    let (_program, _older) = start_with_document(&platform, &nowhere, &given, |_| {});
+    let next = platform.wait_for_document("the measurements of the older process", |d| {
         d["lore"]["told"] == given["lore"]["told"]
     });
     assert_eq!(next["list"], given["list"]);
     assert_eq!(next["members"], given["members"]);
     assert_eq!(next["classes"], given["classes"]);
     assert_eq!(next["lore"]["usual"], given["lore"]["usual"]);
-    // Learnt figures, and no zeros of a newcomer.
+    // The figures are measured ones, and not the initial zeros of a new member.
     assert!(given["lore"]["usual"][0] != given["lore"]["usual"][3]);
     for key in [
         "answers",
@@ -380,11 +392,12 @@
     }
 }
 
-/// Guards against a key that is written but no more read: it would go on as zero, as most figures are in the fixture.
+/// Guards against a key that is written but not read: its value would restart at zero, which is the value of most
+/// figures in the fixture.
 #[test]
 fn every_figure_of_a_member_that_a_newer_process_takes_over_has_the_value_handed_over() {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let mut given = scene.document();
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let mut given = deployment.document();
     let mut number = 0;
     for n in 0..3 {
         let record = given["lore"]["members"][n][1].as_object_mut().unwrap();
@@ -401,8 +414,8 @@
     }
     given["lore"]["usual"] = json!([1001.5, 1002.5, 1003.5, 1004.5]);
     given["lore"]["told"] = json!([11.0, 12.0, 13.0, 14.0]);
-    let (_program, _older) = handed_to(&platform, &nowhere, &given, |_| {});
-    let next = platform.handed("what was learnt", |d| {
+    let (_program, _older) = start_with_document(&platform, &nowhere, &given, |_| {});
+    let next = platform.wait_for_document("the measurements of the older process", |d| {
         d["lore"]["told"] == given["lore"]["told"]
     });
     assert_eq!(next["lore"]["usual"], given["lore"]["usual"]);
@@ -413,7 +426,7 @@
             taken_over(member(&given, n)),
             "member {n}"
         );
-        // Its own are as the list has them, and nothing is out there yet.
+        // The keys that the newer process sets itself follow the list, and no request or health check is in flight yet.
         let listed = [
             "group",
             "zone",
@@ -437,14 +450,19 @@
         }
     }
     let kinds = shape(&fixture["lore"]["members"][1][1]);
-    assert!(OWN.iter().all(|key| kinds.get(key).is_some()), "{kinds}");
+    assert!(
+        KEYS_NOT_TAKEN_OVER
+            .iter()
+            .all(|key| kinds.get(key).is_some()),
+        "{kinds}"
+    );
 }
 
 #[test]
-fn classes_in_another_order_in_the_newer_process_go_on_from_the_figures_of_their_names() {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let given = scene.document();
-    let (_program, _older) = handed_to(&platform, &nowhere, &given, |config| {
+fn classes_in_another_order_in_the_newer_process_keep_the_figures_of_their_names() {
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let given = deployment.document();
+    let (_program, _older) = start_with_document(&platform, &nowhere, &given, |config| {
         let settings = &mut config["settings"];
         settings["Classes"].as_array_mut().unwrap().reverse();
         settings["Domain"]["Freshness"]
@@ -461,19 +479,21 @@
             .cloned()
             .collect()
     };
-    let next = platform.handed("what was learnt", |d| d["lore"]["told"] == reversed("told"));
+    let next = platform.wait_for_document("the measurements of the older process", |d| {
+        d["lore"]["told"] == reversed("told")
+    });
     assert_eq!(next["classes"], json!(["own", "once", "order", "read"]));
     assert_eq!(next["lore"]["usual"], reversed("usual"));
 }
 
 #[test]
 fn members_in_another_order_in_the_document_are_found_by_their_names() {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let mut given = scene.document();
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let mut given = deployment.document();
     given["members"].as_array_mut().unwrap().reverse();
     given["lore"]["members"].as_array_mut().unwrap().reverse();
-    let (_program, _older) = handed_to(&platform, &nowhere, &given, |_| {});
-    let next = platform.handed("what was learnt", |d| {
+    let (_program, _older) = start_with_document(&platform, &nowhere, &given, |_| {});
+    let next = platform.wait_for_document("the measurements of the older process", |d| {
         d["lore"]["told"] == given["lore"]["told"]
     });
     assert_eq!(next["members"], json!(["s-1", "s-2", "s-3"]));
@@ -487,14 +507,15 @@
 }
 
 #[test]
-fn a_list_older_than_the_own_one_is_not_taken_from_an_older_process_but_what_it_learnt_is() {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let given = scene.document();
-    let mut own = scene.members();
+fn an_outdated_list_of_an_older_process_is_not_taken_over_but_its_measurements_are() {
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let given = deployment.document();
+    let mut own = deployment.members();
     own[2]["phase"] = json!("in_service");
     let known = json!({"revision": 8, "complete": true, "members": own});
-    let (_program, _older) = handed_to(&platform, &nowhere, &given, |c| c["known"] = known.clone());
-    let next = platform.handed("what was learnt", |d| {
+    let (_program, _older) =
+        start_with_document(&platform, &nowhere, &given, |c| c["known"] = known.clone());
+    let next = platform.wait_for_document("the measurements of the older process", |d| {
         d["lore"]["told"] == given["lore"]["told"]
     });
     assert_eq!(next["list"], known);
@@ -502,47 +523,49 @@
 }
 
 #[test]
-fn what_the_older_process_holds_is_counted_and_told_to_the_next_one_under_each_key() {
-    let (scene, platform, nowhere) = (Scene::new(), Platform::new(), Nowhere::new());
-    let mut given = scene.document();
+fn what_the_older_process_holds_is_counted_and_reported_to_the_next_one_under_each_key() {
+    let (deployment, platform, nowhere) = (Deployment::new(), Platform::new(), Nowhere::new());
+    let mut given = deployment.document();
     given["held"] = json!({"clients": 110, "hosts": 22, "memory": 3300});
-    let (_program, mut older) = handed_to(&platform, &nowhere, &given, |_| {});
-    let next = platform.handed("what is held", |_| true);
+    let (_program, mut older) = start_with_document(&platform, &nowhere, &given, |_| {});
+    let next = platform.wait_for_document("what is held", |_| true);
     assert_eq!(
         next["held"],
         json!({"clients": 174, "hosts": 22, "memory": 3300})
     );
-    // It tells the older one what itself holds.
+    // The new process reports to the older one what it holds itself.
     assert_eq!(
         line_of(&mut older),
         json!({"clients": 64, "hosts": 0, "memory": 0})
     );
-    // And hears what that one holds from now on.
+    // From now on the older process reports what it holds.
     older
         .get_mut()
         .write_all(b"{\"clients\":7,\"hosts\":5,\"memory\":3}\n")
         .unwrap();
     let now = json!({"clients": 71, "hosts": 5, "memory": 3});
     assert_eq!(
-        platform.handed("what is held now", |d| d["held"] == now)["held"],
+        platform.wait_for_document("what is held now", |d| d["held"] == now)["held"],
         now
     );
     drop(older);
     let alone = json!({"clients": 64, "hosts": 0, "memory": 0});
-    platform.handed("nothing held by one that is gone", |d| d["held"] == alone);
+    platform.wait_for_document("nothing held by a process that has ended", |d| {
+        d["held"] == alone
+    });
 }
 
 #[test]
-fn what_a_newer_process_holds_is_counted_until_it_says_otherwise() {
+fn what_a_newer_process_holds_is_counted_until_it_reports_another_amount() {
     let (platform, nowhere) = (Platform::new(), Nowhere::new());
     let program = platform.start(&configuration(nowhere.address()));
-    let (_, mut newer) = platform.newer();
+    let (_, mut newer) = platform.play_newer();
     let mut told_until = |line: &[u8], words: &str| {
         newer.get_mut().write_all(line).unwrap();
-        let by = Instant::now() + TEST_TIMEOUT;
+        let deadline = Instant::now() + TEST_TIMEOUT;
         while !program.connect().1.contains(words) {
-            assert!(Instant::now() < by, "waited in vain: {words}");
-            sleep(LOOK);
+            assert!(Instant::now() < deadline, "timed out waiting for {words}");
+            sleep(POLL_INTERVAL);
         }
     };
     told_until(
@@ -556,16 +579,16 @@
 }
 
 #[test]
-fn an_older_process_of_other_words_is_passed_over_and_the_process_starts_alone() {
+fn an_older_process_with_an_invalid_document_is_ignored_and_the_process_starts_alone() {
     for words in ["{\"list\": 5}", "HELLO", ""] {
         let (platform, nowhere) = (Platform::new(), Nowhere::new());
-        let older = platform.older(words);
+        let older = platform.play_older(words);
         let program = platform.start(&configuration(nowhere.address()));
         older
             .recv_timeout(TEST_TIMEOUT)
-            .expect("it comes to the older process");
+            .expect("a connection to the older process");
         let _: SocketAddr = program.address();
-        let alone: Value = serde_json::from_str(&platform.newer().0).unwrap();
+        let alone: Value = serde_json::from_str(&platform.play_newer().0).unwrap();
         assert_eq!(
             alone["list"],
             json!({"revision": 0, "complete": true, "members": []}),
--- a/tests/compatibility/main.rs
+++ b/tests/compatibility/main.rs
@@ -1,5 +1,6 @@
-//! What must not change while the program's inside does: the words that it exchanges with other versions of itself, with
-//! operators and with its platform. The real program as a process; fixtures are what a program of today wrote or reads.
+//! Compatibility tests: the formats that the program exchanges with other versions of itself, with operators and with
+//! its platform must not change when its implementation does. The tests run the real program as a process; the fixtures
+//! are texts that a program of the present version wrote or reads.
 
 #![allow(clippy::unwrap_used)]
 
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -1,12 +1,12 @@
-//! The operators' file: what is taken, and what is said of one that is not.
+//! The operators' file: what is accepted, and the messages for what is rejected.
 
-use crate::console::fleet;
+use crate::console::fleet_configuration;
 use crate::program::{configuration, outcome, refusal, Folder, Nowhere, Program};
 use insta::assert_snapshot;
 use serde_json::{json, Value};
 
 const ALL_KEYS: &str = include_str!("fixtures/operators-all-keys.jsonnet");
-/// Every key, with its default and a value of another type.
+/// Section, key, default value, and a value of the wrong type, for every key.
 const KEYS: [(&str, &str, &str, &str); 19] = [
     ("membership", "enabled", "false", "'yes'"),
     ("membership", "probe_period_ms", "1000", "'1s'"),
@@ -29,17 +29,18 @@
     ("sites", "stale_ms", "60000", "[]"),
 ];
 
-/// A folder with a configuration that starts a gateway.
-fn prepared() -> (Folder, Nowhere, String) {
+/// Returns a folder with a configuration that starts a gateway, the address of its discovery, and the path of the
+/// configuration.
+fn folder_with_configuration() -> (Folder, Nowhere, String) {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let path = folder.file("config.json", &configuration(nowhere.address()).to_string());
+    let path = folder.write_file("config.json", &configuration(nowhere.address()).to_string());
     (folder, nowhere, path)
 }
 
-/// What is said of a file of this text, without what is the same for all.
-fn said_of(text: &str) -> String {
-    let (folder, _nowhere, config) = prepared();
-    let path = folder.file("operators.jsonnet", text);
+/// The error message for a file of this text, without the prefix that all such messages share.
+fn error_for(text: &str) -> String {
+    let (folder, _nowhere, config) = folder_with_configuration();
+    let path = folder.write_file("operators.jsonnet", text);
     let said = refusal(
         &folder,
         &[
@@ -55,16 +56,16 @@
 }
 
 #[test]
-fn a_file_that_sets_every_key_to_another_value_than_its_default_is_taken() {
+fn a_file_that_sets_every_key_to_a_value_other_than_its_default_is_accepted() {
     for (section, key, _, _) in KEYS {
         let (_, rest) = ALL_KEYS.split_once(&format!("  {section}: {{")).unwrap();
         let (body, _) = rest.split_once("\n  },").unwrap();
         assert!(body.contains(&format!("\n    {key}: ")), "{section}/{key}");
     }
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (config, _all) = fleet(&nowhere, 1);
-    let config = folder.file("config.json", &config.to_string());
-    let path = folder.file("operators.jsonnet", ALL_KEYS);
+    let (config, _all) = fleet_configuration(&nowhere, 1);
+    let config = folder.write_file("config.json", &config.to_string());
+    let path = folder.write_file("operators.jsonnet", ALL_KEYS);
     let program = Program::start(
         &[
             ("BALANCER_CONFIG", &config),
@@ -107,13 +108,13 @@
         include_str!("../../deploy/operators.jsonnet").to_string(),
     ];
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (config, _all) = fleet(&nowhere, 1);
-    let config = folder.file("config.json", &config.to_string());
+    let (config, _all) = fleet_configuration(&nowhere, 1);
+    let config = folder.write_file("config.json", &config.to_string());
     let files = texts.iter().enumerate();
     let files: Vec<String> = files
-        .map(|(n, text)| folder.file(&format!("{n}.jsonnet"), text))
+        .map(|(n, text)| folder.write_file(&format!("{n}.jsonnet"), text))
         .collect();
-    // A variable that is empty names no file.
+    // An empty variable names no file.
     for path in files.iter().map(String::as_str).chain([""]) {
         let program = Program::start(
             &[("BALANCER_CONFIG", &config), ("IRISROUTER_OPERATORS", path)],
@@ -121,7 +122,7 @@
         );
         let _ = program.address();
         let said = program.said.update(|s| s.text.clone());
-        // It may have called discovery already, where nobody is.
+        // The program may already have failed to connect to discovery, because nothing listens there.
         let lines = said.lines().filter(|l| !l.contains("discovery: "));
         let lines: Vec<&str> = lines.map(|l| l.rsplit_once(' ').unwrap().0).collect();
         assert_eq!(
@@ -132,7 +133,8 @@
     }
 }
 
-/// Guards against a default that moves: what is said of a feature that lacks another one, or has one value of a pair, tells it.
+/// Guards against a changed default: the messages for a feature that lacks another one, or has only one value of a
+/// pair, would change with it.
 #[test]
 fn features_that_need_others_are_refused_with_all_that_is_missing() {
     let texts = [
@@ -141,7 +143,7 @@
         "{ sites: { enabled: true }, membership: { enabled: true }, takeover: { enabled: true } }",
         "{ sites: { enabled: true, capacity_per_s: 1 }, takeover: { enabled: true } }",
     ];
-    assert_snapshot!(texts.map(said_of).join("\n"), @r#"
+    assert_snapshot!(texts.map(error_for).join("\n"), @r#"
     not taken:
       /takeover/enabled: needs /membership/enabled
     not taken:
@@ -158,14 +160,14 @@
 fn a_misspelt_key_is_named_with_its_place() {
     let mut said = Vec::new();
     for section in ["membership", "takeover", "sites"] {
-        said.push(said_of(&format!("{{ {section}s: {{}} }}")));
+        said.push(error_for(&format!("{{ {section}s: {{}} }}")));
     }
     for (section, key, default, _) in KEYS {
-        said.push(said_of(&format!(
+        said.push(error_for(&format!(
             "{{ {section}: {{ {key}_: {default} }} }}"
         )));
     }
-    said.push(said_of(
+    said.push(error_for(
         "{ membership: { colour: 1, enabeld: true }, size: 2 }",
     ));
     assert_snapshot!(said.join("\n"), @r#"
@@ -223,7 +225,9 @@
 fn a_value_of_another_type_is_named_with_its_place_and_the_type_that_is_wanted() {
     let mut said: Vec<String> = KEYS
         .iter()
-        .map(|(section, key, _, wrong)| said_of(&format!("{{ {section}: {{ {key}: {wrong} }} }}")))
+        .map(|(section, key, _, wrong)| {
+            error_for(&format!("{{ {section}: {{ {key}: {wrong} }} }}"))
+        })
         .collect();
     let whole = [
         "[]",
@@ -236,7 +240,7 @@
         "{ sites: { prefer: { a: [1] } } }",
         "{ sites: { refuse: ['read', 2] } }",
     ];
-    said.extend(whole.map(said_of));
+    said.extend(whole.map(error_for));
     assert_snapshot!(said.join("\n"), @r#"
     not taken:
       /membership/enabled: "yes" is not of type "boolean"
@@ -308,7 +312,7 @@
         "{ takeover: { lease_ms: 1e30 } }",
         "{ membership: { enabled: true }, takeover: { enabled: true }, sites: { enabled: true, capacity_per_s: -1 } }",
     ];
-    assert_snapshot!(texts.map(said_of).join("\n"), @r#"
+    assert_snapshot!(texts.map(error_for).join("\n"), @r#"
     not taken:
       /membership/probe_period_ms: at least 10 ms: probes would crowd the socket
     not taken:
@@ -327,12 +331,12 @@
     "#);
 }
 
-/// What is checked only against the platform's configuration, or where plans for sites are on.
+/// Checks that need the platform's configuration, or that are made only when plans for sites are on.
 #[test]
 fn sites_that_do_not_fit_the_configuration_stop_the_start_with_the_reason() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (config, _all) = fleet(&nowhere, 1);
-    let config = folder.file("config.json", &config.to_string());
+    let (config, _all) = fleet_configuration(&nowhere, 1);
+    let config = folder.write_file("config.json", &config.to_string());
     let sites = [
         json!({"prefer": {"c": ["a"]}}),
         json!({"prefer": {"a": ["c"]}}),
@@ -347,13 +351,13 @@
         json!({"ramp_ms": 0}),
     ];
     let said = sites.map(|sites| {
-        let mut on = json!({"enabled": true, "capacity_per_s": 100});
-        on.as_object_mut()
+        let mut site_settings = json!({"enabled": true, "capacity_per_s": 100});
+        site_settings.as_object_mut()
             .unwrap()
             .extend(sites.as_object().unwrap().clone());
         let all =
-            json!({"membership": {"enabled": true}, "takeover": {"enabled": true}, "sites": on});
-        let path = folder.file("operators.jsonnet", &all.to_string());
+            json!({"membership": {"enabled": true}, "takeover": {"enabled": true}, "sites": site_settings});
+        let path = folder.write_file("operators.jsonnet", &all.to_string());
         let said = refusal(
             &folder,
             &[
@@ -376,10 +380,10 @@
     irisrouter: /sites/ramp_from: over 0, at most 1
     irisrouter: /sites/ramp_ms: must be greater than zero
     "#);
-    // With plans off none of it is looked at.
+    // With plans off none of these values is checked.
     let off: Value =
         json!({"sites": {"prefer": {"c": ["a"]}, "refuse": ["report"], "budget": 7, "ramp_ms": 0}});
-    let path = folder.file("operators.jsonnet", &off.to_string());
+    let path = folder.write_file("operators.jsonnet", &off.to_string());
     assert_eq!(
         outcome(
             &folder,
@@ -393,15 +397,15 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_told_with_its_path() {
-    let (folder, _nowhere, config) = prepared();
-    let large = folder.file("large.jsonnet", &format!("{{}}{}", " ".repeat(4 << 20)));
-    let text = folder.at("bytes.jsonnet");
+fn an_unreadable_file_is_refused_with_its_path() {
+    let (folder, _nowhere, config) = folder_with_configuration();
+    let large = folder.write_file("large.jsonnet", &format!("{{}}{}", " ".repeat(4 << 20)));
+    let text = folder.path_of("bytes.jsonnet");
     std::fs::write(&text, b"{ membership: '\xff\xfe' }").unwrap();
     let paths = [
-        folder.at("missing.jsonnet"),
-        folder.at(""),
-        folder.at("config.json/below"),
+        folder.path_of("missing.jsonnet"),
+        folder.path_of(""),
+        folder.path_of("config.json/below"),
         large,
         text,
     ];
@@ -423,7 +427,8 @@
     "#);
 }
 
-/// The trace is set out in columns, whose width follows the path's.
+/// The text with each run of whitespace replaced by one space: the column width of a trace depends on the length of the
+/// path.
 fn without_columns(text: &str) -> String {
     let lines = text
         .lines()
@@ -432,7 +437,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_jsonnet_or_fails_is_told_with_its_place() {
+fn a_file_that_is_not_jsonnet_or_fails_is_refused_with_the_place_of_the_error() {
     let texts = [
         "{ membership: ",
         "membership:\n  enabled: true\n",
@@ -442,7 +447,7 @@
         "{ membership: { enabled: 1 / 0 } }",
         "function(fleet) { membership: { enabled: fleet } }",
     ];
-    let said = texts.map(|text| format!("---\n{}", without_columns(&said_of(text))));
+    let said = texts.map(|text| format!("---\n{}", without_columns(&error_for(text))));
     assert_snapshot!(said.join("\n"), @r#"
     ---
     syntax error, expected one of one of "(", "[", "{", <identifier>, <number>, <string>, <unary op>, <whitespace>, got "EOF"
@@ -473,8 +478,8 @@
 }
 
 #[test]
-fn a_file_that_calls_itself_without_end_is_refused_with_its_calls() {
-    let said = without_columns(&said_of(
+fn a_file_with_infinite_recursion_is_refused_with_its_call_trace() {
+    let said = without_columns(&error_for(
         "local f(x) = f(x + 1) + 1; { membership: { stall_ms: f(0) } }",
     ));
     let lines: Vec<&str> = said.lines().collect();
@@ -496,11 +501,12 @@
     );
 }
 
-/// The evaluator breaks down on it, in a build with overflow checks as this one: what it says of that comes first.
+/// The evaluator panics on an empty file in a build with overflow checks, as this one is, so that its panic message
+/// precedes the error.
 #[test]
 fn a_file_that_is_empty_is_refused() {
-    let (folder, _nowhere, config) = prepared();
-    let path = folder.file("operators.jsonnet", "");
+    let (folder, _nowhere, config) = folder_with_configuration();
+    let path = folder.write_file("operators.jsonnet", "");
     let said = refusal(
         &folder,
         &[
--- a/tests/compatibility/program.rs
+++ b/tests/compatibility/program.rs
@@ -1,4 +1,4 @@
-//! The program under test with a chosen environment, in a folder of its own.
+//! The program under test as a process, with a chosen environment and a temporary directory of its own.
 
 use crate::harness::{
     client::Client, gateway::base_settings, messages::startup_message, monitor::Monitor,
@@ -14,7 +14,7 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-/// All variables that the program reads; those that a test does not set are unset.
+/// All environment variables that the program reads; those that a test does not set are unset.
 const VARIABLES: [&str; 8] = [
     "BALANCER_CONFIG",
     "BALANCER_LISTEN",
@@ -25,10 +25,10 @@
     "IRISROUTER_OPERATORS",
     "TMPDIR",
 ];
-/// Between two looks at something that tells nobody when it changes.
-pub const LOOK: Duration = Duration::from_millis(5);
+/// Polling interval for state whose changes are not notified.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A folder that goes with the test.
+/// A temporary directory that is removed when the value is dropped.
 pub struct Folder(PathBuf);
 
 impl Folder {
@@ -45,15 +45,15 @@
         &self.0
     }
 
-    /// Where a file of this name is, or would be.
-    pub fn at(&self, name: &str) -> String {
+    /// The path of the file with this name, whether or not it exists.
+    pub fn path_of(&self, name: &str) -> String {
         self.0.join(name).to_str().unwrap().to_string()
     }
 
-    /// Writes a file, and tells where.
-    pub fn file(&self, name: &str, text: &str) -> String {
+    /// Writes a file and returns its path.
+    pub fn write_file(&self, name: &str, text: &str) -> String {
         std::fs::write(self.0.join(name), text).unwrap();
-        self.at(name)
+        self.path_of(name)
     }
 }
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// An address that refuses connections for as long as this lives: bound, and nobody listens.
+/// An address that refuses connections for the lifetime of the value: the socket is bound but does not listen.
 pub struct Nowhere(socket2::Socket);
 
 impl Nowhere {
@@ -81,27 +81,27 @@
     }
 }
 
-/// A whole configuration, with no list of hosts.
+/// A complete configuration without a list of hosts.
 pub fn configuration(discovery: SocketAddr) -> Value {
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "console": "127.0.0.1:0",
         "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": 1024}, "settings": base_settings()})
 }
 
-/// Standard error so far, and whether it has ended.
+/// The standard error received so far, and whether it has reached its end.
 #[derive(Default)]
 pub struct Said {
     pub text: String,
     pub ended: bool,
 }
 
-/// A process of the program, which ends with the test.
+/// A process of the program, which is killed when the value is dropped.
 pub struct Program {
     child: Child,
     pub said: Monitor<Said>,
 }
 
 impl Program {
-    /// Starts it with these variables, and perhaps with the clients' socket as its descriptor 3.
+    /// Starts the program with these environment variables, and with `passed` as descriptor 3 if it is given.
     pub fn start(variables: &[(&str, &str)], passed: Option<&TcpListener>) -> Self {
         let program = env!("CARGO_BIN_EXE_irisrouter");
         let mut command = Command::new(program);
@@ -120,42 +120,43 @@
         spawn(move || {
             let mut line = Vec::new();
             while from.read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
-                let words = String::from_utf8(std::mem::take(&mut line)).unwrap();
-                to.update(|s| s.text.push_str(&words));
+                let text = String::from_utf8(std::mem::take(&mut line)).unwrap();
+                to.update(|s| s.text.push_str(&text));
             }
             to.update(|s| s.ended = true);
         });
         Program { child, said }
     }
 
-    /// Starts it with this configuration.
+    /// Starts the program with this configuration file.
     pub fn with(folder: &Folder, config: &Value) -> Self {
-        let path = folder.file("config.json", &config.to_string());
+        let path = folder.write_file("config.json", &config.to_string());
         Self::start(&[("BALANCER_CONFIG", &path)], None)
     }
 
-    /// The rest of the first line that has these words in it.
-    pub fn rest_of_line(&self, words: &str) -> String {
-        self.said.wait_for(words, |s| {
+    /// Waits for a line of standard error that contains `text`, and returns the part of the first such line behind
+    /// `text`.
+    pub fn rest_of_line(&self, text: &str) -> String {
+        self.said.wait_for(text, |s| {
             let found = s
                 .text
                 .lines()
-                .find_map(|l| Some(l.split_once(words)?.1.to_string()));
+                .find_map(|l| Some(l.split_once(text)?.1.to_string()));
             assert!(
                 found.is_some() || !s.ended,
-                "it ended without \"{words}\": {}",
+                "process ended without logging \"{text}\": {}",
                 s.text
             );
             found
         })
     }
 
-    /// Where clients connect.
+    /// The address at which the gateway accepts clients.
     pub fn address(&self) -> SocketAddr {
         self.rest_of_line("listens on ").parse().unwrap()
     }
 
-    /// What the console answers to these bytes.
+    /// Sends these bytes to the console and returns its answer.
     pub fn call(&self, bytes: &str) -> String {
         let console: SocketAddr = self.rest_of_line("operators call ").parse().unwrap();
         let mut stream = TcpStream::connect(console).unwrap();
@@ -166,7 +167,7 @@
         answer
     }
 
-    /// A connection of a client, and the first that it is told.
+    /// Connects a client and sends its startup message. Returns the client and the answer.
     pub fn connect(&self) -> (Client, String) {
         let stream = TcpStream::connect(self.address()).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -175,14 +176,14 @@
             cancel_key: Vec::new(),
         };
         client.send(&startup_message());
-        let told = client.read_until_ready();
-        (client, told)
+        let answer = client.read_until_ready();
+        (client, answer)
     }
 
-    /// A client that is welcome.
+    /// Connects a client whose session must be accepted.
     pub fn client(&self) -> Client {
-        let (client, told) = self.connect();
-        assert!(told.starts_with("AuthenticationOk"), "{told}");
+        let (client, answer) = self.connect();
+        assert!(answer.starts_with("AuthenticationOk"), "{answer}");
         client
     }
 
@@ -194,21 +195,22 @@
             .success());
     }
 
-    /// Its exit code and all that it said, once it has ended by itself.
-    pub fn end(mut self) -> (Option<i32>, String) {
-        let by = Instant::now() + TEST_TIMEOUT;
+    /// Waits until the process ends by itself, and returns its exit code and its standard error.
+    pub fn wait_for_exit(mut self) -> (Option<i32>, String) {
+        let deadline = Instant::now() + TEST_TIMEOUT;
         let code = loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 break status.code();
             }
             let said = self.said.update(|s| s.text.clone());
-            assert!(Instant::now() < by, "it does not end: {said}");
-            sleep(LOOK);
+            assert!(Instant::now() < deadline, "process does not exit: {said}");
+            sleep(POLL_INTERVAL);
         };
         (
             code,
-            self.said
-                .wait_for("the end of its words", |s| s.ended.then(|| s.text.clone())),
+            self.said.wait_for("the end of standard error", |s| {
+                s.ended.then(|| s.text.clone())
+            }),
         )
     }
 }
@@ -220,14 +222,15 @@
     }
 }
 
-/// What a program says that does not start, with the folder's path as FOLDER; it has to exit with 1.
+/// Returns the standard error of a program that fails to start, with the path of the folder replaced by FOLDER. Its
+/// exit code has to be 1.
 pub fn refusal(folder: &Folder, variables: &[(&str, &str)]) -> String {
-    let (code, said) = Program::start(variables, None).end();
+    let (code, said) = Program::start(variables, None).wait_for_exit();
     assert_eq!(code, Some(1), "{said}");
     said.replace(folder.path().to_str().unwrap(), "FOLDER")
 }
 
-/// "starts", or what is said of why it does not.
+/// Returns "starts" if the program starts to serve, and otherwise its standard error, as [`refusal`] does.
 pub fn outcome(folder: &Folder, variables: &[(&str, &str)]) -> String {
     let program = Program::start(variables, None);
     let starts = program.said.wait_for("a start or an end", |s| {
@@ -239,20 +242,23 @@
     if starts {
         return "starts".into();
     }
-    let (code, said) = program.end();
+    let (code, said) = program.wait_for_exit();
     assert_eq!(code, Some(1), "{said}");
     said.replace(folder.path().to_str().unwrap(), "FOLDER")
 }
 
-/// Compares with a file in `fixtures`, to the letter.
-pub fn same_as_fixture(name: &str, text: &str) {
+/// Asserts that the text equals a file in `fixtures`, byte for byte.
+pub fn assert_equals_fixture(name: &str, text: &str) {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/compatibility/fixtures")
         .join(name);
-    let kept = std::fs::read_to_string(&path).unwrap_or_default();
-    let differs = text.lines().zip(kept.lines()).find(|(is, was)| is != was);
+    let fixture = std::fs::read_to_string(&path).unwrap_or_default();
+    let differs = text
+        .lines()
+        .zip(fixture.lines())
+        .find(|(actual, expected)| actual != expected);
     assert!(
-        kept == text,
-        "{name}: first difference {differs:?}; all of what is:\n{text}"
+        fixture == text,
+        "{name}: first difference {differs:?}; actual text:\n{text}"
     );
 }
