--- a/.ci/policy-limits-test.sh
+++ b/.ci/policy-limits-test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# What policy-limits.sh accepts, and what it does not.
+# Tests which lists of policy files policy-limits.sh accepts, and which it rejects.
 set -euo pipefail
 cd "$(dirname "$0")"
 root=$(mktemp -d); trap 'rm -r "$root"' EXIT
--- a/scenarios/calm.jsonnet
+++ b/scenarios/calm.jsonnet
@@ -1,4 +1,4 @@
-// No trouble at all: what routing costs when nothing goes wrong.
+// No faults: measures the cost of routing when nothing fails.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.55, length=40) {
--- a/scenarios/cut-off.jsonnet
+++ b/scenarios/cut-off.jsonnet
@@ -1,4 +1,4 @@
-// Some gateways do not reach some hosts, which are well and serve the others.
+// Some gateways cannot reach some hosts, which are healthy and serve the other gateways.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=4, hosts=12, load=0.5, length=40) {
--- a/scenarios/drain.jsonnet
+++ b/scenarios/drain.jsonnet
@@ -1,4 +1,4 @@
-// Hosts drain one after the other, primaries among them, and are replaced by fresh ones.
+// Hosts, primaries among them, drain one after the other and are replaced by new ones.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.5, length=60) {
--- a/scenarios/flood.jsonnet
+++ b/scenarios/flood.jsonnet
@@ -1,4 +1,4 @@
-// One to three sets draw much more traffic: real first tries, and no storm.
+// One to three groups get much more traffic, which consists of real first tries and not of retries.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=18, load=0.5, length=50, sets=1, part=[0.1, 0.25]) {
--- a/scenarios/hang.jsonnet
+++ b/scenarios/hang.jsonnet
@@ -1,4 +1,4 @@
-// A primary hangs with writes in its hands, is replaced, and comes back as a replica that still holds them.
+// A primary hangs with writes in flight, is replaced, and comes back as a replica that still holds those writes.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.5, length=40, hangs=[4, 9]) {
--- a/scenarios/large.jsonnet
+++ b/scenarios/large.jsonnet
@@ -1,4 +1,4 @@
-// A large fleet: what the laboratory costs, and the gateways with it.
+// A large fleet: measures the cost of the testbed and of its gateways.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=48, hosts=300, rate=10000, length=10) {
--- a/scenarios/lib/deployment.libsonnet
+++ b/scenarios/lib/deployment.libsonnet
@@ -1,7 +1,7 @@
-// The deployment of the brief, sized: what all scenarios start from. Figures that are not named here are the defaults
-// of the types (`irisrouter-testbed check FILE` prints all of them), which are the brief's.
+// The deployment that all scenarios start from, with its size as parameters. Values that are not set here have the
+// defaults of their types, which are those of the requirements (`irisrouter-testbed check FILE` prints all of them).
 {
-  // gateways, hosts: how many; load: part of what the sets can do; length: seconds of arrivals.
+  // gateways, hosts: numbers of each; load: share of the groups' capacity; length: duration of arrivals in seconds.
   sized(gateways, hosts, load, length):: {
     gateways: gateways,
     length_s: length,
@@ -10,7 +10,7 @@
     traffic: { load: load },
   },
 
-  // The storm's clients: they try again twice, whatever they were told, marked or not.
+  // The clients of a retry storm: they retry twice after any answer, whether or not they mark their retries as such.
   storming:: {
     clients: {
       retries: 2,
--- a/scenarios/mute.jsonnet
+++ b/scenarios/mute.jsonnet
@@ -1,4 +1,4 @@
-// Discovery says nothing while hosts drain and fall silent, and half of the datagrams between gateways are lost.
+// Discovery is silent while hosts drain and stop answering, and half of the datagrams between gateways are lost.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=4, hosts=12, load=0.5, length=50) {
--- a/scenarios/night.jsonnet
+++ b/scenarios/night.jsonnet
@@ -1,4 +1,4 @@
-// Several troubles at once, as on the worst nights so far: a flood, a storm, slow log apply, and gateways that restart meanwhile.
+// Several faults at once: excess traffic, a retry storm, slow log apply, and gateways that restart meanwhile.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.55, length=80) {
--- a/scenarios/refusing.jsonnet
+++ b/scenarios/refusing.jsonnet
@@ -1,4 +1,4 @@
-// A host turns everything away, at once: to a gateway that counts what is out it looks like the emptiest one.
+// A host rejects every request at once, so that by its number of requests in flight it looks like the least loaded one.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.5, length=40) {
--- a/scenarios/reset.jsonnet
+++ b/scenarios/reset.jsonnet
@@ -1,4 +1,4 @@
-// Hosts die with a reset, refuse connections, and are started again cold.
+// Hosts die with a connection reset, refuse connections for a while, and restart with reduced capacity.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.55, length=40, share=0.18, away=[1, 4]) {
--- a/scenarios/slow-apply.jsonnet
+++ b/scenarios/slow-apply.jsonnet
@@ -1,4 +1,4 @@
-// All replicas apply the log many times more slowly: they fall behind while they answer as quickly as ever.
+// All replicas apply the log many times more slowly: they lag behind but answer as quickly as before.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.5, length=50, times=[4, 16]) {
--- a/scenarios/slowdown.jsonnet
+++ b/scenarios/slowdown.jsonnet
@@ -1,4 +1,4 @@
-// Something that all hosts depend on makes every one of them slower: every host looks guilty, and none is.
+// A shared dependency slows down all hosts: each host looks faulty although none is.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.5, length=40, times=[1.5, 2.6]) {
--- a/scenarios/spoilt.jsonnet
+++ b/scenarios/spoilt.jsonnet
@@ -1,4 +1,4 @@
-// A part of some hosts' answers are errors, and come at once.
+// Some hosts answer a share of their requests with errors, and do so immediately.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=2, hosts=12, load=0.5, length=40, part=0.6) {
--- a/scenarios/waves.jsonnet
+++ b/scenarios/waves.jsonnet
@@ -1,4 +1,4 @@
-// Most gateways are killed within half a minute, up to 30 % at a time, and come back with nothing but their last list.
+// Most gateways are killed within half a minute, up to 30 % at a time, and restart with only their last endpoint list.
 local deployment = import 'lib/deployment.libsonnet';
 
 function(gateways=8, hosts=24, load=0.5, length=60, share=0.89, at_a_time=0.3, at=10, span=[14, 29]) {
--- a/tests/gateway/configuration.rs
+++ b/tests/gateway/configuration.rs
@@ -62,7 +62,7 @@
     }
     assert!(
         busy.read_until_ready().contains("XX000"),
-        "rejected at its deadline and not before"
+        "the open request ends at its deadline and not before"
     );
 
     gateway.signal("-TERM");
