--- a/tests/compatibility/configuration.rs
+++ b/tests/compatibility/configuration.rs
@@ -16,9 +16,9 @@
 /// The outcome of starting with a configuration of this text, with the names of Rust structs replaced by NAME. One test
 /// below checks all of these names.
 fn outcome_of_text(text: &str) -> String {
-    let said = exact_outcome_of_text(text);
-    let Some((before, after)) = said.split_once("expected struct ") else {
-        return said;
+    let exact_outcome = exact_outcome_of_text(text);
+    let Some((before, after)) = exact_outcome.split_once("expected struct ") else {
+        return exact_outcome;
     };
     let name = after
         .find(|c: char| !c.is_ascii_alphanumeric())
@@ -64,16 +64,16 @@
     let folder = Folder::new();
     let bytes = folder.path_of("bytes.json");
     std::fs::write(&bytes, b"{\"name\": \"\xff\"}").unwrap();
-    let mut said = vec![refusal(&folder, &[])];
+    let mut outcomes = vec![refusal(&folder, &[])];
     for path in [
         String::new(),
         folder.path_of("missing.json"),
         folder.path_of(""),
         bytes,
     ] {
-        said.push(refusal(&folder, &[("BALANCER_CONFIG", &path)]));
+        outcomes.push(refusal(&folder, &[("BALANCER_CONFIG", &path)]));
     }
-    assert_snapshot!(said.join(""), @r#"
+    assert_snapshot!(outcomes.join(""), @r#"
     irisrouter: BALANCER_CONFIG is not set
     irisrouter: cannot read : No such file or directory (os error 2)
     irisrouter: cannot read FOLDER/missing.json: No such file or directory (os error 2)
@@ -93,8 +93,8 @@
         "\"n0\"",
         "{\"seed\": \"1\", \"seed\": \"2\"}",
     ];
-    let said = texts.map(|text| format!("{text:?}: {}", outcome_of_text(text).trim_end()));
-    assert_snapshot!(said.join("\n"), @r#"
+    let outcomes = texts.map(|text| format!("{text:?}: {}", outcome_of_text(text).trim_end()));
+    assert_snapshot!(outcomes.join("\n"), @r#"
     "": irisrouter: FOLDER/config.json: EOF while parsing a value at line 1 column 0
     "{\n  \"name\": \"n0\",\n}": irisrouter: FOLDER/config.json: trailing comma at line 3 column 1
     "{} {}": irisrouter: FOLDER/config.json: missing field `seed` at line 1 column 2
@@ -191,14 +191,14 @@
     let host = json!({"id": "s-1", "host_port": "127.0.0.1:1", "locality": "a", "cell": 2, "phase": "in_service",
         "size": 1.0, "up_since_ms": 0, "access": "reader", "flavor": "m"});
     let known = |host: Value| Some(json!({"revision": 1, "complete": true, "members": [host]}));
-    let mut said = vec![format!(
+    let mut outcomes = vec![format!(
         "whole: {}",
         with("/known", known(host.clone())).trim_end()
     )];
     for key in host.as_object().unwrap().keys() {
         let mut without = host.clone();
         without.as_object_mut().unwrap().remove(key);
-        said.push(format!(
+        outcomes.push(format!(
             "without {key}: {}",
             with("/known", known(without)).trim_end()
         ));
@@ -220,12 +220,12 @@
     for (key, value) in others {
         let mut other = host.clone();
         other[key] = value.clone();
-        said.push(format!(
+        outcomes.push(format!(
             "{key} {value}: {}",
             with("/known", known(other)).trim_end()
         ));
     }
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(outcomes.join("\n"), @r#"
     whole: starts
     without access: starts
     without cell: irisrouter: FOLDER/config.json: missing field `cell` at line 1 column 219
@@ -253,10 +253,10 @@
 
 #[test]
 fn an_invalid_address_in_the_file_or_the_environment_is_refused_with_the_name_of_its_variable() {
-    let mut said = Vec::new();
+    let mut outcomes = Vec::new();
     for key in ["listen", "discovery", "console"] {
         for bad in ["", "127.0.0.1", "localhost:5432", "127.0.0.1:65536"] {
-            said.push(format!(
+            outcomes.push(format!(
                 "{key} {bad:?}: {}",
                 with(&format!("/{key}"), Some(json!(bad))).trim_end()
             ));
@@ -267,8 +267,8 @@
     for name in ["BALANCER_LISTEN", "BALANCER_DISCOVERY", "BALANCER_CONSOLE"] {
         // A variable with an empty value counts as unset.
         for value in ["", "nowhere"] {
-            let told = outcome(&folder, &[("BALANCER_CONFIG", &path), (name, value)]);
-            said.push(format!("{name}={value:?}: {}", told.trim_end()));
+            let outcome_text = outcome(&folder, &[("BALANCER_CONFIG", &path), (name, value)]);
+            outcomes.push(format!("{name}={value:?}: {}", outcome_text.trim_end()));
         }
     }
     let mut bare = configuration(nowhere.address());
@@ -276,7 +276,7 @@
         bare.as_object_mut().unwrap().remove(key);
     }
     let path = folder.write_file("config.json", &bare.to_string());
-    said.push(outcome(
+    outcomes.push(outcome(
         &folder,
         &[
             ("BALANCER_CONFIG", &path),
@@ -290,8 +290,8 @@
         ("BALANCER_CONSOLE", "127.0.0.1:0"),
         ("BALANCER_NAME", "n7"),
     ];
-    said.push(outcome(&folder, &all));
-    assert_snapshot!(said.join("\n"), @r#"
+    outcomes.push(outcome(&folder, &all));
+    assert_snapshot!(outcomes.join("\n"), @r#"
     listen "": irisrouter: FOLDER/config.json: BALANCER_LISTEN: : invalid socket address syntax
     listen "127.0.0.1": irisrouter: FOLDER/config.json: BALANCER_LISTEN: 127.0.0.1: invalid socket address syntax
     listen "localhost:5432": irisrouter: FOLDER/config.json: BALANCER_LISTEN: localhost:5432: invalid socket address syntax
@@ -334,12 +334,12 @@
         &configuration(taken.local_addr().unwrap()).to_string(),
     );
     let config = ("BALANCER_CONFIG", &*path);
-    let said = [
+    let messages = [
         refusal(&folder, &[config, ("BALANCER_LISTEN", &at)]),
         refusal(&folder, &[config, ("BALANCER_CONSOLE", &at)]),
         refusal(&folder, &[config, ("BALANCER_PASSED_SOCKET", "3")]),
     ];
-    assert_snapshot!(said.join("").replace(&at, "TAKEN"), @r#"
+    assert_snapshot!(messages.join("").replace(&at, "TAKEN"), @r#"
     irisrouter: cannot listen on TAKEN: Address already in use (os error 98)
     irisrouter: cannot listen on TAKEN: Address already in use (os error 98)
     irisrouter: cannot listen on 127.0.0.1:0: fd 3 is not a socket
@@ -455,16 +455,16 @@
         "/settings/Rules",
         "/settings/Classes/0",
     ];
-    let mut said = vec![exact_outcome_of_text("5")];
-    said.extend(names.map(|pointer| {
+    let mut outcomes = vec![exact_outcome_of_text("5")];
+    outcomes.extend(names.map(|pointer| {
         let mut config = valid_configuration();
         set(&mut config, pointer, Some(json!(5)));
         exact_outcome_of_text(&config.to_string())
     }));
     let mut config = valid_configuration();
     config["settings"]["Tenants"] = json!([5]);
-    said.push(exact_outcome_of_text(&config.to_string()));
-    assert_snapshot!(said.join(""), @r#"
+    outcomes.push(exact_outcome_of_text(&config.to_string()));
+    assert_snapshot!(outcomes.join(""), @r#"
     irisrouter: FOLDER/config.json: invalid type: integer `5`, expected struct File at line 1 column 1
     irisrouter: FOLDER/config.json: invalid type: integer `5`, expected struct Limits at line 1 column 61
     irisrouter: FOLDER/config.json: invalid type: integer `5`, expected struct List at line 1 column 60
@@ -565,13 +565,13 @@
         ("/peer_listen", Some(json!("nowhere"))),
         ("/peers_all", Some(json!("nowhere"))),
     ];
-    let said = changes.map(|(pointer, value)| {
+    let messages = changes.map(|(pointer, value)| {
         let mut changed = whole.clone();
         set(&mut changed, pointer, value);
         let program = Program::with(&folder, &changed);
         program.rest_of_line("irisrouter: nothing is shared with other gateways: ")
     });
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(messages.join("\n"), @r#"
     peers: invalid type: null, expected a sequence
     peers: invalid type: string "127.0.0.1:1", expected a sequence
     peers: 1 addresses for 16 gateways, this one's number is 0
@@ -623,7 +623,7 @@
     for (n, file) in files.iter().enumerate() {
         folder.write_file("config.json", file);
         program.signal("-HUP");
-        program.said.wait_for("the outcome of the file", |s| {
+        program.stderr.wait_for("the outcome of the file", |s| {
             // The log drops lines beyond 20 per second.
             assert!(!s.ended && !s.text.contains("left out"), "{}", s.text);
             let outcomes = ["the old configuration holds", "configuration read again"];
@@ -648,19 +648,19 @@
     let files = reloaded_files(&config, &elsewhere.address().to_string());
     reload_each(&program, &folder, &files);
     program.rest_of_line("what waits for the next start: listen");
-    let told = program.said.update(|s| s.text.clone());
-    let told = told
+    let log = program.stderr.update(|s| s.text.clone());
+    let log = log
         .lines()
         .skip_while(|l| !l.contains("listens on"))
         .skip(1);
-    let told: Vec<&str> = told.filter(|l| !l.contains("discovery: ")).collect();
-    let told = told
+    let log: Vec<&str> = log.filter(|l| !l.contains("discovery: ")).collect();
+    let log = log
         .join("\n")
         .replace(folder.path().to_str().unwrap(), "FOLDER");
-    let told = told
+    let log = log
         .replace(&nowhere.address().to_string(), "OLD")
         .replace(&elsewhere.address().to_string(), "NEW");
-    assert_snapshot!(told, @r#"
+    assert_snapshot!(log, @r#"
     irisrouter: the old configuration holds: FOLDER/config.json: EOF while parsing an object at line 1 column 1
     irisrouter: the old configuration holds: FOLDER/config.json: EOF while parsing a value at line 1 column 0
     irisrouter: the old configuration holds: FOLDER/config.json: missing field `seed` at line 1 column 2
--- a/tests/compatibility/console.rs
+++ b/tests/compatibility/console.rs
@@ -221,9 +221,9 @@
     set_known_hosts(&mut config, &[("s-1", host.address, "a", 1.0)]);
     let program = start(&folder, &config, ALL_FEATURES_ON);
     let members = program.call("members\n");
-    let told =
+    let expected =
         "+OK membership reachable=N of N majority=true alone=true answered=N/N N:alive/N/N/Ns/-\n";
-    assert_eq!(without_digits(&members), told);
+    assert_eq!(without_digits(&members), expected);
     assert!(
         members.starts_with("+OK membership reachable=1 of 1 "),
         "{members}"
@@ -265,9 +265,9 @@
         ],
     );
     let program = start(&folder, &config, ALL_FEATURES_ON);
-    let said = program.call("drain s-2\n");
+    let answer = program.call("drain s-2\n");
     assert_eq!(
-        said,
+        answer,
         "+OK s-2 is to be out of service; 1 of 1 gateways follow\n"
     );
     let done = call_until(&program, "drains\n", |a| a.contains("done"));
@@ -327,8 +327,8 @@
         program.call("drain s-1\n"),
         "+OK s-1 is to be out of service; 1 of 1 gateways follow\n"
     );
-    let told = call_until(&program, "drains\n", |a| a.contains("draining,open=1"));
-    assert_eq!(told, "+OK drains s-1:draining,open=1,unheard=0\n");
+    let answer = call_until(&program, "drains\n", |a| a.contains("draining,open=1"));
+    assert_eq!(answer, "+OK drains s-1:draining,open=1,unheard=0\n");
 }
 
 #[test]
@@ -354,14 +354,14 @@
         (first.join().unwrap(), second)
     });
     assert_eq!(first, "-ERR another word on that host came in between\n");
-    let told = "-ERR s-2 is to be back in service; 1 of 3 gateways follow, which is no majority: it holds there, and goes on \
-                being told\n";
-    assert_eq!(second, told);
+    let expected = "-ERR s-2 is to be back in service; 1 of 3 gateways follow, which is no majority: it holds \
+                there, and goes on being told\n";
+    assert_eq!(second, expected);
     assert_eq!(program.call("drains\n"), "+OK drains s-2:elsewhere\n");
     let members = call_until(&program, "members\n", |a| a.contains("majority=false"));
-    let told =
+    let expected =
         "+OK membership reachable=N of N majority=false alone=true answered=N/N N:alive/N/N/Ns/-\n";
-    assert_eq!(without_digits(&members), told);
+    assert_eq!(without_digits(&members), expected);
     assert!(
         members.starts_with("+OK membership reachable=1 of 3 "),
         "{members}"
--- a/tests/compatibility/handover.rs
+++ b/tests/compatibility/handover.rs
@@ -1,6 +1,7 @@
 //! Hand-over between two versions: what a process sends to a newer one, and what it accepts from an older one.
 //!
-//! `fixtures/hand-over-document.json` is the unmodified line that a process of this version wrote in the deployment below.
+//! `fixtures/hand-over-document.json` is the unmodified line that a process of this version wrote in the deployment
+//! below.
 
 use crate::harness::{
     client::Client,
@@ -208,12 +209,12 @@
     loop {
         let line = platform.play_newer().0;
         let document: Value = serde_json::from_str(&line).unwrap();
-        let told = document["lore"]["told"] == json!([5.0, 3.0, 1.0, 0.0]);
+        let all_counted = document["lore"]["told"] == json!([5.0, 3.0, 1.0, 0.0]);
         let is_idle = |n| {
             member(&document, n)["outstanding"] == json!(0)
                 && member(&document, n)["probe_out"] == json!(false)
         };
-        let settled = told && (0..3).all(is_idle);
+        let settled = all_counted && (0..3).all(is_idle);
         if settled {
             return (deployment, document, line);
         }
@@ -560,19 +561,19 @@
     let (platform, nowhere) = (Platform::new(), Nowhere::new());
     let program = platform.start(&configuration(nowhere.address()));
     let (_, mut newer) = platform.play_newer();
-    let mut told_until = |line: &[u8], words: &str| {
+    let mut report_and_wait_for_answer = |line: &[u8], text: &str| {
         newer.get_mut().write_all(line).unwrap();
         let deadline = Instant::now() + TEST_TIMEOUT;
-        while !program.connect().1.contains(words) {
-            assert!(Instant::now() < deadline, "timed out waiting for {words}");
+        while !program.connect().1.contains(text) {
+            assert!(Instant::now() < deadline, "timed out waiting for {text}");
             sleep(POLL_INTERVAL);
         }
     };
-    told_until(
+    report_and_wait_for_answer(
         b"{\"clients\":5000,\"hosts\":0,\"memory\":0}\n",
         "too many connections",
     );
-    told_until(
+    report_and_wait_for_answer(
         b"{\"clients\":0,\"hosts\":0,\"memory\":0}\n",
         "AuthenticationOk",
     );
@@ -595,7 +596,7 @@
             "{words}"
         );
         program
-            .said
+            .stderr
             .update(|s| assert!(!s.text.contains("hands over"), "{}", s.text));
     }
 }
--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -41,17 +41,20 @@
 fn error_for(text: &str) -> String {
     let (folder, _nowhere, config) = folder_with_configuration();
     let path = folder.write_file("operators.jsonnet", text);
-    let said = refusal(
+    let stderr = refusal(
         &folder,
         &[
             ("BALANCER_CONFIG", &config),
             ("IRISROUTER_OPERATORS", &path),
         ],
     );
-    let rest = said
+    let rest = stderr
         .strip_prefix("irisrouter: FOLDER/operators.jsonnet: ")
-        .expect(&said);
-    assert!(said.ends_with('\n') && !said.ends_with("\n\n"), "{said:?}");
+        .expect(&stderr);
+    assert!(
+        stderr.ends_with('\n') && !stderr.ends_with("\n\n"),
+        "{stderr:?}"
+    );
     rest.trim_end().to_string()
 }
 
@@ -74,7 +77,7 @@
         None,
     );
     let _ = program.address();
-    let started = program.said.update(|s| s.text.clone());
+    let started = program.stderr.update(|s| s.text.clone());
     let usual = ["listens on", "operators call", "discovery: "];
     let lines = started
         .lines()
@@ -121,9 +124,9 @@
             None,
         );
         let _ = program.address();
-        let said = program.said.update(|s| s.text.clone());
+        let stderr = program.stderr.update(|s| s.text.clone());
         // The program may already have failed to connect to discovery, because nothing listens there.
-        let lines = said.lines().filter(|l| !l.contains("discovery: "));
+        let lines = stderr.lines().filter(|l| !l.contains("discovery: "));
         let lines: Vec<&str> = lines.map(|l| l.rsplit_once(' ').unwrap().0).collect();
         assert_eq!(
             lines,
@@ -158,19 +161,19 @@
 
 #[test]
 fn a_misspelt_key_is_named_with_its_place() {
-    let mut said = Vec::new();
+    let mut messages = Vec::new();
     for section in ["membership", "takeover", "sites"] {
-        said.push(error_for(&format!("{{ {section}s: {{}} }}")));
+        messages.push(error_for(&format!("{{ {section}s: {{}} }}")));
     }
     for (section, key, default, _) in KEYS {
-        said.push(error_for(&format!(
+        messages.push(error_for(&format!(
             "{{ {section}: {{ {key}_: {default} }} }}"
         )));
     }
-    said.push(error_for(
+    messages.push(error_for(
         "{ membership: { colour: 1, enabeld: true }, size: 2 }",
     ));
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(messages.join("\n"), @r#"
     not taken:
       (the whole): Additional properties are not allowed ('memberships' was unexpected)
     not taken:
@@ -223,7 +226,7 @@
 
 #[test]
 fn a_value_of_another_type_is_named_with_its_place_and_the_type_that_is_wanted() {
-    let mut said: Vec<String> = KEYS
+    let mut messages: Vec<String> = KEYS
         .iter()
         .map(|(section, key, _, wrong)| {
             error_for(&format!("{{ {section}: {{ {key}: {wrong} }} }}"))
@@ -240,8 +243,8 @@
         "{ sites: { prefer: { a: [1] } } }",
         "{ sites: { refuse: ['read', 2] } }",
     ];
-    said.extend(whole.map(error_for));
-    assert_snapshot!(said.join("\n"), @r#"
+    messages.extend(whole.map(error_for));
+    assert_snapshot!(messages.join("\n"), @r#"
     not taken:
       /membership/enabled: "yes" is not of type "boolean"
     not taken:
@@ -350,7 +353,7 @@
         json!({"ramp_from": 1.5}),
         json!({"ramp_ms": 0}),
     ];
-    let said = sites.map(|sites| {
+    let messages = sites.map(|sites| {
         let mut site_settings = json!({"enabled": true, "capacity_per_s": 100});
         site_settings.as_object_mut()
             .unwrap()
@@ -358,16 +361,16 @@
         let all =
             json!({"membership": {"enabled": true}, "takeover": {"enabled": true}, "sites": site_settings});
         let path = folder.write_file("operators.jsonnet", &all.to_string());
-        let said = refusal(
+        let stderr = refusal(
             &folder,
             &[
                 ("BALANCER_CONFIG", &config),
                 ("IRISROUTER_OPERATORS", &path),
             ],
         );
-        said.lines().last().unwrap().to_string()
+        stderr.lines().last().unwrap().to_string()
     });
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(messages.join("\n"), @r#"
     irisrouter: /sites/prefer: the configuration has no c, only a, b
     irisrouter: /sites/prefer/a: the configuration has no c, only a, b
     irisrouter: /sites/prefer: site 0 names itself, or one that is not there
@@ -409,7 +412,7 @@
         large,
         text,
     ];
-    let said = paths.map(|path| {
+    let messages = paths.map(|path| {
         refusal(
             &folder,
             &[
@@ -418,7 +421,7 @@
             ],
         )
     });
-    assert_snapshot!(said.join(""), @r#"
+    assert_snapshot!(messages.join(""), @r#"
     irisrouter: FOLDER/missing.jsonnet: No such file or directory (os error 2)
     irisrouter: FOLDER/: no file of 4194304 bytes at most
     irisrouter: FOLDER/config.json/below: Not a directory (os error 20)
@@ -447,8 +450,8 @@
         "{ membership: { enabled: 1 / 0 } }",
         "function(fleet) { membership: { enabled: fleet } }",
     ];
-    let said = texts.map(|text| format!("---\n{}", without_columns(&error_for(text))));
-    assert_snapshot!(said.join("\n"), @r#"
+    let messages = texts.map(|text| format!("---\n{}", without_columns(&error_for(text))));
+    assert_snapshot!(messages.join("\n"), @r#"
     ---
     syntax error, expected one of one of "(", "[", "{", <identifier>, <number>, <string>, <unary op>, <whitespace>, got "EOF"
     FOLDER/operators.jsonnet:1:15
@@ -479,10 +482,10 @@
 
 #[test]
 fn a_file_with_infinite_recursion_is_refused_with_its_call_trace() {
-    let said = without_columns(&error_for(
+    let message = without_columns(&error_for(
         "local f(x) = f(x + 1) + 1; { membership: { stall_ms: f(0) } }",
     ));
-    let lines: Vec<&str> = said.lines().collect();
+    let lines: Vec<&str> = message.lines().collect();
     assert_eq!(
         lines[0],
         "stack overflow, try to reduce recursion, or set --max-stack to bigger value"
@@ -491,7 +494,7 @@
         .iter()
         .filter(|l| l.ends_with(": function <f> call"))
         .count();
-    assert_eq!((calls, lines.len()), (179, 182), "{said}");
+    assert_eq!((calls, lines.len()), (179, 182), "{message}");
     assert_eq!(
         lines[180..],
         [
@@ -507,16 +510,16 @@
 fn a_file_that_is_empty_is_refused() {
     let (folder, _nowhere, config) = folder_with_configuration();
     let path = folder.write_file("operators.jsonnet", "");
-    let said = refusal(
+    let stderr = refusal(
         &folder,
         &[
             ("BALANCER_CONFIG", &config),
             ("IRISROUTER_OPERATORS", &path),
         ],
     );
-    let last = said.lines().last().unwrap();
+    let last = stderr.lines().last().unwrap();
     assert_eq!(
         last, "irisrouter: FOLDER/operators.jsonnet: the evaluation broke down",
-        "{said}"
+        "{stderr}"
     );
 }
--- a/tests/compatibility/program.rs
+++ b/tests/compatibility/program.rs
@@ -89,7 +89,7 @@
 
 /// The standard error received so far, and whether it has reached its end.
 #[derive(Default)]
-pub struct Said {
+pub struct CapturedStderr {
     pub text: String,
     pub ended: bool,
 }
@@ -97,7 +97,7 @@
 /// A process of the program, which is killed when the value is dropped.
 pub struct Program {
     child: Child,
-    pub said: Monitor<Said>,
+    pub stderr: Monitor<CapturedStderr>,
 }
 
 impl Program {
@@ -115,8 +115,8 @@
         }
         command.envs(variables.iter().copied());
         let mut child = command.stderr(Stdio::piped()).spawn().unwrap();
-        let said = Monitor::new(Said::default());
-        let (mut from, to) = (BufReader::new(child.stderr.take().unwrap()), said.clone());
+        let stderr = Monitor::new(CapturedStderr::default());
+        let (mut from, to) = (BufReader::new(child.stderr.take().unwrap()), stderr.clone());
         spawn(move || {
             let mut line = Vec::new();
             while from.read_until(b'\n', &mut line).is_ok_and(|n| n > 0) {
@@ -125,7 +125,7 @@
             }
             to.update(|s| s.ended = true);
         });
-        Program { child, said }
+        Program { child, stderr }
     }
 
     /// Starts the program with this configuration file.
@@ -137,7 +137,7 @@
     /// Waits for a line of standard error that contains `text`, and returns the part of the first such line behind
     /// `text`.
     pub fn rest_of_line(&self, text: &str) -> String {
-        self.said.wait_for(text, |s| {
+        self.stderr.wait_for(text, |s| {
             let found = s
                 .text
                 .lines()
@@ -202,13 +202,13 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 break status.code();
             }
-            let said = self.said.update(|s| s.text.clone());
-            assert!(Instant::now() < deadline, "process does not exit: {said}");
+            let stderr = self.stderr.update(|s| s.text.clone());
+            assert!(Instant::now() < deadline, "process does not exit: {stderr}");
             sleep(POLL_INTERVAL);
         };
         (
             code,
-            self.said.wait_for("the end of standard error", |s| {
+            self.stderr.wait_for("the end of standard error", |s| {
                 s.ended.then(|| s.text.clone())
             }),
         )
@@ -225,15 +225,15 @@
 /// Returns the standard error of a program that fails to start, with the path of the folder replaced by FOLDER. Its
 /// exit code has to be 1.
 pub fn refusal(folder: &Folder, variables: &[(&str, &str)]) -> String {
-    let (code, said) = Program::start(variables, None).wait_for_exit();
-    assert_eq!(code, Some(1), "{said}");
-    said.replace(folder.path().to_str().unwrap(), "FOLDER")
+    let (code, stderr) = Program::start(variables, None).wait_for_exit();
+    assert_eq!(code, Some(1), "{stderr}");
+    stderr.replace(folder.path().to_str().unwrap(), "FOLDER")
 }
 
 /// Returns "starts" if the program starts to serve, and otherwise its standard error, as [`refusal`] does.
 pub fn outcome(folder: &Folder, variables: &[(&str, &str)]) -> String {
     let program = Program::start(variables, None);
-    let starts = program.said.wait_for("a start or an end", |s| {
+    let starts = program.stderr.wait_for("a start or an end", |s| {
         if s.text.contains(" listens on ") {
             return Some(true);
         }
@@ -242,9 +242,9 @@
     if starts {
         return "starts".into();
     }
-    let (code, said) = program.wait_for_exit();
-    assert_eq!(code, Some(1), "{said}");
-    said.replace(folder.path().to_str().unwrap(), "FOLDER")
+    let (code, stderr) = program.wait_for_exit();
+    assert_eq!(code, Some(1), "{stderr}");
+    stderr.replace(folder.path().to_str().unwrap(), "FOLDER")
 }
 
 /// Asserts that the text equals a file in `fixtures`, byte for byte.
--- a/tests/gateway/discovery.rs
+++ b/tests/gateway/discovery.rs
@@ -33,7 +33,7 @@
     list.update(|l| *l = endpoint_list_body(3, both("terminating")));
     // The gateway sends this poll once it has received the list that holds the drain.
     discovery.wait_for_request("from=3&");
-    let took = drained.elapsed();
+    let detection_time = drained.elapsed();
     let seen = two.statements().len();
     for _ in 0..10 {
         assert!(client.query(&statement("read", 9_000)).contains("a1b2"));
@@ -43,7 +43,7 @@
         seen,
         "no new request to a draining host"
     );
-    took
+    detection_time
 }
 
 /// Waits until the gateway polls for a list newer than revision 2.
@@ -156,7 +156,7 @@
 /// the first connection nor the first request on the second one gets a complete answer.
 #[test]
 fn drain_is_known_within_six_seconds_when_a_long_poll_is_silent() {
-    let took = measure_drain_detection(
+    let detection_time = measure_drain_detection(
         |request| match request.connection {
             // Sends only the beginning of a response.
             1 if request.path.contains("hold_ms=2") => {
@@ -169,14 +169,14 @@
         },
         wait_for_long_poll,
     );
-    assert!(took < DRAIN_DETECTION_LIMIT, "{took:?}");
+    assert!(detection_time < DRAIN_DETECTION_LIMIT, "{detection_time:?}");
 }
 
 /// Guards against ignoring a response without Content-Length, and against taking a connection reset for the end of such
 /// a response.
 #[test]
 fn list_without_content_length_is_complete_at_end_of_connection_but_not_at_reset() {
-    let took = measure_drain_detection(
+    let detection_time = measure_drain_detection(
         |request| match request.connection {
             2 if request.path.contains("hold_ms=2") => send_wrong_list_then_reset(request),
             _ => {
@@ -186,7 +186,7 @@
         },
         |_| {},
     );
-    assert!(took < DRAIN_DETECTION_LIMIT, "{took:?}");
+    assert!(detection_time < DRAIN_DETECTION_LIMIT, "{detection_time:?}");
 }
 
 /// Guards against discovery polls that fail for lack of a descriptor while idle clients hold all descriptors allotted
