--- a/tests/compatibility/operators.rs
+++ b/tests/compatibility/operators.rs
@@ -1,12 +1,12 @@
-//! The operators' file: what is taken, and what is said of one that is not.
+//! The operators' file: what is accepted, and the messages for what is rejected.
 
-use crate::console::fleet;
+use crate::console::fleet_configuration;
 use crate::program::{configuration, outcome, refusal, Folder, Nowhere, Program};
 use insta::assert_snapshot;
 use serde_json::{json, Value};
 
 const ALL_KEYS: &str = include_str!("fixtures/operators-all-keys.jsonnet");
-/// Every key, with its default and a value of another type.
+/// Section, key, default value, and a value of the wrong type, for every key.
 const KEYS: [(&str, &str, &str, &str); 19] = [
     ("membership", "enabled", "false", "'yes'"),
     ("membership", "probe_period_ms", "1000", "'1s'"),
@@ -29,42 +29,46 @@
     ("sites", "stale_ms", "60000", "[]"),
 ];
 
-/// A folder with a configuration that starts a gateway.
-fn prepared() -> (Folder, Nowhere, String) {
+/// Returns a folder with a configuration that starts a gateway, the address of its discovery, and the path of the
+/// configuration.
+fn folder_with_configuration() -> (Folder, Nowhere, String) {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let path = folder.file("config.json", &configuration(nowhere.address()).to_string());
+    let path = folder.write_file("config.json", &configuration(nowhere.address()).to_string());
     (folder, nowhere, path)
 }
 
-/// What is said of a file of this text, without what is the same for all.
-fn said_of(text: &str) -> String {
-    let (folder, _nowhere, config) = prepared();
-    let path = folder.file("operators.jsonnet", text);
-    let said = refusal(
+/// The error message for a file of this text, without the prefix that all such messages share.
+fn error_for(text: &str) -> String {
+    let (folder, _nowhere, config) = folder_with_configuration();
+    let path = folder.write_file("operators.jsonnet", text);
+    let stderr = refusal(
         &folder,
         &[
             ("BALANCER_CONFIG", &config),
             ("IRISROUTER_OPERATORS", &path),
         ],
     );
-    let rest = said
+    let rest = stderr
         .strip_prefix("irisrouter: FOLDER/operators.jsonnet: ")
-        .expect(&said);
-    assert!(said.ends_with('\n') && !said.ends_with("\n\n"), "{said:?}");
+        .expect(&stderr);
+    assert!(
+        stderr.ends_with('\n') && !stderr.ends_with("\n\n"),
+        "{stderr:?}"
+    );
     rest.trim_end().to_string()
 }
 
 #[test]
-fn a_file_that_sets_every_key_to_another_value_than_its_default_is_taken() {
+fn a_file_that_sets_every_key_to_a_value_other_than_its_default_is_accepted() {
     for (section, key, _, _) in KEYS {
         let (_, rest) = ALL_KEYS.split_once(&format!("  {section}: {{")).unwrap();
         let (body, _) = rest.split_once("\n  },").unwrap();
         assert!(body.contains(&format!("\n    {key}: ")), "{section}/{key}");
     }
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (config, _all) = fleet(&nowhere, 1);
-    let config = folder.file("config.json", &config.to_string());
-    let path = folder.file("operators.jsonnet", ALL_KEYS);
+    let (config, _all) = fleet_configuration(&nowhere, 1);
+    let config = folder.write_file("config.json", &config.to_string());
+    let path = folder.write_file("operators.jsonnet", ALL_KEYS);
     let program = Program::start(
         &[
             ("BALANCER_CONFIG", &config),
@@ -73,7 +77,7 @@
         None,
     );
     let _ = program.address();
-    let started = program.said.update(|s| s.text.clone());
+    let started = program.stderr.update(|s| s.text.clone());
     let usual = ["listens on", "operators call", "discovery: "];
     let lines = started
         .lines()
@@ -107,22 +111,22 @@
         include_str!("../../deploy/operators.jsonnet").to_string(),
     ];
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (config, _all) = fleet(&nowhere, 1);
-    let config = folder.file("config.json", &config.to_string());
+    let (config, _all) = fleet_configuration(&nowhere, 1);
+    let config = folder.write_file("config.json", &config.to_string());
     let files = texts.iter().enumerate();
     let files: Vec<String> = files
-        .map(|(n, text)| folder.file(&format!("{n}.jsonnet"), text))
+        .map(|(n, text)| folder.write_file(&format!("{n}.jsonnet"), text))
         .collect();
-    // A variable that is empty names no file.
+    // An empty variable names no file.
     for path in files.iter().map(String::as_str).chain([""]) {
         let program = Program::start(
             &[("BALANCER_CONFIG", &config), ("IRISROUTER_OPERATORS", path)],
             None,
         );
         let _ = program.address();
-        let said = program.said.update(|s| s.text.clone());
-        // It may have called discovery already, where nobody is.
-        let lines = said.lines().filter(|l| !l.contains("discovery: "));
+        let stderr = program.stderr.update(|s| s.text.clone());
+        // The program may already have failed to connect to discovery, because nothing listens there.
+        let lines = stderr.lines().filter(|l| !l.contains("discovery: "));
         let lines: Vec<&str> = lines.map(|l| l.rsplit_once(' ').unwrap().0).collect();
         assert_eq!(
             lines,
@@ -132,7 +136,8 @@
     }
 }
 
-/// Guards against a default that moves: what is said of a feature that lacks another one, or has one value of a pair, tells it.
+/// Guards against a changed default: the messages for a feature that lacks another one, or has only one value of a
+/// pair, would change with it.
 #[test]
 fn features_that_need_others_are_refused_with_all_that_is_missing() {
     let texts = [
@@ -141,7 +146,7 @@
         "{ sites: { enabled: true }, membership: { enabled: true }, takeover: { enabled: true } }",
         "{ sites: { enabled: true, capacity_per_s: 1 }, takeover: { enabled: true } }",
     ];
-    assert_snapshot!(texts.map(said_of).join("\n"), @r#"
+    assert_snapshot!(texts.map(error_for).join("\n"), @r#"
     not taken:
       /takeover/enabled: needs /membership/enabled
     not taken:
@@ -156,19 +161,19 @@
 
 #[test]
 fn a_misspelt_key_is_named_with_its_place() {
-    let mut said = Vec::new();
+    let mut messages = Vec::new();
     for section in ["membership", "takeover", "sites"] {
-        said.push(said_of(&format!("{{ {section}s: {{}} }}")));
+        messages.push(error_for(&format!("{{ {section}s: {{}} }}")));
     }
     for (section, key, default, _) in KEYS {
-        said.push(said_of(&format!(
+        messages.push(error_for(&format!(
             "{{ {section}: {{ {key}_: {default} }} }}"
         )));
     }
-    said.push(said_of(
+    messages.push(error_for(
         "{ membership: { colour: 1, enabeld: true }, size: 2 }",
     ));
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(messages.join("\n"), @r#"
     not taken:
       (the whole): Additional properties are not allowed ('memberships' was unexpected)
     not taken:
@@ -221,9 +226,11 @@
 
 #[test]
 fn a_value_of_another_type_is_named_with_its_place_and_the_type_that_is_wanted() {
-    let mut said: Vec<String> = KEYS
+    let mut messages: Vec<String> = KEYS
         .iter()
-        .map(|(section, key, _, wrong)| said_of(&format!("{{ {section}: {{ {key}: {wrong} }} }}")))
+        .map(|(section, key, _, wrong)| {
+            error_for(&format!("{{ {section}: {{ {key}: {wrong} }} }}"))
+        })
         .collect();
     let whole = [
         "[]",
@@ -236,8 +243,8 @@
         "{ sites: { prefer: { a: [1] } } }",
         "{ sites: { refuse: ['read', 2] } }",
     ];
-    said.extend(whole.map(said_of));
-    assert_snapshot!(said.join("\n"), @r#"
+    messages.extend(whole.map(error_for));
+    assert_snapshot!(messages.join("\n"), @r#"
     not taken:
       /membership/enabled: "yes" is not of type "boolean"
     not taken:
@@ -308,7 +315,7 @@
         "{ takeover: { lease_ms: 1e30 } }",
         "{ membership: { enabled: true }, takeover: { enabled: true }, sites: { enabled: true, capacity_per_s: -1 } }",
     ];
-    assert_snapshot!(texts.map(said_of).join("\n"), @r#"
+    assert_snapshot!(texts.map(error_for).join("\n"), @r#"
     not taken:
       /membership/probe_period_ms: at least 10 ms: probes would crowd the socket
     not taken:
@@ -327,12 +334,12 @@
     "#);
 }
 
-/// What is checked only against the platform's configuration, or where plans for sites are on.
+/// Checks that need the platform's configuration, or that are made only when plans for sites are on.
 #[test]
 fn sites_that_do_not_fit_the_configuration_stop_the_start_with_the_reason() {
     let (folder, nowhere) = (Folder::new(), Nowhere::new());
-    let (config, _all) = fleet(&nowhere, 1);
-    let config = folder.file("config.json", &config.to_string());
+    let (config, _all) = fleet_configuration(&nowhere, 1);
+    let config = folder.write_file("config.json", &config.to_string());
     let sites = [
         json!({"prefer": {"c": ["a"]}}),
         json!({"prefer": {"a": ["c"]}}),
@@ -346,24 +353,24 @@
         json!({"ramp_from": 1.5}),
         json!({"ramp_ms": 0}),
     ];
-    let said = sites.map(|sites| {
-        let mut on = json!({"enabled": true, "capacity_per_s": 100});
-        on.as_object_mut()
+    let messages = sites.map(|sites| {
+        let mut site_settings = json!({"enabled": true, "capacity_per_s": 100});
+        site_settings.as_object_mut()
             .unwrap()
             .extend(sites.as_object().unwrap().clone());
         let all =
-            json!({"membership": {"enabled": true}, "takeover": {"enabled": true}, "sites": on});
-        let path = folder.file("operators.jsonnet", &all.to_string());
-        let said = refusal(
+            json!({"membership": {"enabled": true}, "takeover": {"enabled": true}, "sites": site_settings});
+        let path = folder.write_file("operators.jsonnet", &all.to_string());
+        let stderr = refusal(
             &folder,
             &[
                 ("BALANCER_CONFIG", &config),
                 ("IRISROUTER_OPERATORS", &path),
             ],
         );
-        said.lines().last().unwrap().to_string()
+        stderr.lines().last().unwrap().to_string()
     });
-    assert_snapshot!(said.join("\n"), @r#"
+    assert_snapshot!(messages.join("\n"), @r#"
     irisrouter: /sites/prefer: the configuration has no c, only a, b
     irisrouter: /sites/prefer/a: the configuration has no c, only a, b
     irisrouter: /sites/prefer: site 0 names itself, or one that is not there
@@ -376,10 +383,10 @@
     irisrouter: /sites/ramp_from: over 0, at most 1
     irisrouter: /sites/ramp_ms: must be greater than zero
     "#);
-    // With plans off none of it is looked at.
+    // With plans off none of these values is checked.
     let off: Value =
         json!({"sites": {"prefer": {"c": ["a"]}, "refuse": ["report"], "budget": 7, "ramp_ms": 0}});
-    let path = folder.file("operators.jsonnet", &off.to_string());
+    let path = folder.write_file("operators.jsonnet", &off.to_string());
     assert_eq!(
         outcome(
             &folder,
@@ -393,19 +400,19 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_told_with_its_path() {
-    let (folder, _nowhere, config) = prepared();
-    let large = folder.file("large.jsonnet", &format!("{{}}{}", " ".repeat(4 << 20)));
-    let text = folder.at("bytes.jsonnet");
+fn an_unreadable_file_is_refused_with_its_path() {
+    let (folder, _nowhere, config) = folder_with_configuration();
+    let large = folder.write_file("large.jsonnet", &format!("{{}}{}", " ".repeat(4 << 20)));
+    let text = folder.path_of("bytes.jsonnet");
     std::fs::write(&text, b"{ membership: '\xff\xfe' }").unwrap();
     let paths = [
-        folder.at("missing.jsonnet"),
-        folder.at(""),
-        folder.at("config.json/below"),
+        folder.path_of("missing.jsonnet"),
+        folder.path_of(""),
+        folder.path_of("config.json/below"),
         large,
         text,
     ];
-    let said = paths.map(|path| {
+    let messages = paths.map(|path| {
         refusal(
             &folder,
             &[
@@ -414,7 +421,7 @@
             ],
         )
     });
-    assert_snapshot!(said.join(""), @r#"
+    assert_snapshot!(messages.join(""), @r#"
     irisrouter: FOLDER/missing.jsonnet: No such file or directory (os error 2)
     irisrouter: FOLDER/: no file of 4194304 bytes at most
     irisrouter: FOLDER/config.json/below: Not a directory (os error 20)
@@ -423,7 +430,8 @@
     "#);
 }
 
-/// The trace is set out in columns, whose width follows the path's.
+/// The text with each run of whitespace replaced by one space: the column width of a trace depends on the length of the
+/// path.
 fn without_columns(text: &str) -> String {
     let lines = text
         .lines()
@@ -432,7 +440,7 @@
 }
 
 #[test]
-fn a_file_that_is_no_jsonnet_or_fails_is_told_with_its_place() {
+fn a_file_that_is_not_jsonnet_or_fails_is_refused_with_the_place_of_the_error() {
     let texts = [
         "{ membership: ",
         "membership:\n  enabled: true\n",
@@ -442,8 +450,8 @@
         "{ membership: { enabled: 1 / 0 } }",
         "function(fleet) { membership: { enabled: fleet } }",
     ];
-    let said = texts.map(|text| format!("---\n{}", without_columns(&said_of(text))));
-    assert_snapshot!(said.join("\n"), @r#"
+    let messages = texts.map(|text| format!("---\n{}", without_columns(&error_for(text))));
+    assert_snapshot!(messages.join("\n"), @r#"
     ---
     syntax error, expected one of one of "(", "[", "{", <identifier>, <number>, <string>, <unary op>, <whitespace>, got "EOF"
     FOLDER/operators.jsonnet:1:15
@@ -473,11 +481,11 @@
 }
 
 #[test]
-fn a_file_that_calls_itself_without_end_is_refused_with_its_calls() {
-    let said = without_columns(&said_of(
+fn a_file_with_infinite_recursion_is_refused_with_its_call_trace() {
+    let message = without_columns(&error_for(
         "local f(x) = f(x + 1) + 1; { membership: { stall_ms: f(0) } }",
     ));
-    let lines: Vec<&str> = said.lines().collect();
+    let lines: Vec<&str> = message.lines().collect();
     assert_eq!(
         lines[0],
         "stack overflow, try to reduce recursion, or set --max-stack to bigger value"
@@ -486,7 +494,7 @@
         .iter()
         .filter(|l| l.ends_with(": function <f> call"))
         .count();
-    assert_eq!((calls, lines.len()), (179, 182), "{said}");
+    assert_eq!((calls, lines.len()), (179, 182), "{message}");
     assert_eq!(
         lines[180..],
         [
@@ -496,21 +504,22 @@
     );
 }
 
-/// The evaluator breaks down on it, in a build with overflow checks as this one: what it says of that comes first.
+/// The evaluator panics on an empty file in a build with overflow checks, as this one is, so that its panic message
+/// precedes the error.
 #[test]
 fn a_file_that_is_empty_is_refused() {
-    let (folder, _nowhere, config) = prepared();
-    let path = folder.file("operators.jsonnet", "");
-    let said = refusal(
+    let (folder, _nowhere, config) = folder_with_configuration();
+    let path = folder.write_file("operators.jsonnet", "");
+    let stderr = refusal(
         &folder,
         &[
             ("BALANCER_CONFIG", &config),
             ("IRISROUTER_OPERATORS", &path),
         ],
     );
-    let last = said.lines().last().unwrap();
+    let last = stderr.lines().last().unwrap();
     assert_eq!(
         last, "irisrouter: FOLDER/operators.jsonnet: the evaluation broke down",
-        "{said}"
+        "{stderr}"
     );
 }
