--- a/crates/config/src/error.rs
+++ b/crates/config/src/error.rs
@@ -14,7 +14,7 @@
     Unreadable {
         /// The settings file.
         file: PathBuf,
-        /// The reason.
+        /// The error that occurred while the file was read.
         source: ReadError,
     },
     /// The file is not valid Jsonnet, or its evaluation fails.
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -12,7 +12,7 @@
 /// memory.
 pub(crate) const MAX_FILE_SIZE: u64 = 4 << 20;
 /// Maximum depth of nested calls in a template. Without a bound, infinite recursion in a template would overflow the
-/// stack and abort the process instead of the evaluation.
+/// stack and abort the process, instead of ending the evaluation with an error.
 const MAX_CALL_DEPTH: usize = 180;
 /// Stack size of the evaluation thread, in bytes: enough for [`MAX_CALL_DEPTH`], also in a build without optimisation.
 const STACK_SIZE: usize = 256 << 20;
--- a/crates/config/src/validation.rs
+++ b/crates/config/src/validation.rs
@@ -17,7 +17,7 @@
     generator.into_root_schema_for::<T>().to_value()
 }
 
-/// Reads settings from a JSON value. The file is not read; errors name it.
+/// Reads settings from a JSON value. `file` is not read; it is only named in errors.
 ///
 /// # Errors
 ///
--- a/crates/config/tests/templates.rs
+++ b/crates/config/tests/templates.rs
@@ -156,7 +156,7 @@
     assert_eq!(parsed.to_string(), "a=x=y");
 }
 
-/// Operators read these texts, and scripts match them.
+/// The texts must not change, because operators and scripts read them.
 #[test]
 fn errors_have_stable_texts() {
     let file = || "a.jsonnet".into();
--- a/crates/endpoint-watch/src/lib.rs
+++ b/crates/endpoint-watch/src/lib.rs
@@ -3,10 +3,10 @@
 //! Watching is a leased task (`irisrouter-leases`, [`TASK_ID`]). The lease holder keeps a long poll open at the
 //! discovery service. While the service answers its calls, it sends all other gateways a short [`Heartbeat`] with the
 //! revision of its endpoint list and the hosts that this list marks as out of service. The other gateways keep no long
-//! poll open. They stop sending requests to the hosts named in a heartbeat as soon as they receive it. All other
-//! changes they fetch from the service themselves, one gateway after another. A heartbeat cannot carry these changes,
-//! because a host's address is only valid for the gateway to which the service gave it, and a gateway sends requests
-//! only to hosts on its own list.
+//! poll open. They stop sending requests to the hosts named in a heartbeat as soon as they receive it. They
+//! fetch all other changes from the service themselves, one gateway after another. A heartbeat cannot carry these
+//! changes, because a host's address is only valid for the gateway to which the service gave it, and a gateway sends
+//! requests only to hosts on its own list.
 //!
 //! A gateway that receives no heartbeat for some time, or only heartbeats of a list older than its own, watches the
 //! service itself, as all gateways do without this package.
--- a/crates/endpoint-watch/src/watcher.rs
+++ b/crates/endpoint-watch/src/watcher.rs
@@ -114,8 +114,8 @@
         })
     }
 
-    /// Returns the next time at which [`EndpointWatcher::due_heartbeat`] may return a heartbeat. `holds_lease` is
-    /// whether this gateway holds the lease of the watch.
+    /// Returns the time at which the caller is to call [`EndpointWatcher::due_heartbeat`] next, or [`Timestamp::MAX`]
+    /// if this gateway does not hold the lease of the watch (`holds_lease`).
     #[must_use]
     pub fn next_heartbeat_at(&self, now: Timestamp, holds_lease: bool) -> Timestamp {
         if !holds_lease {
@@ -142,8 +142,8 @@
             && latest.list.revision >= revision
     }
 
-    /// Decides the next step for this gateway's own list. A returned [`PollDecision::Fetch`] is recorded as a fetch:
-    /// the caller must carry it out.
+    /// Decides the next step for this gateway's own list. The caller must carry out a returned [`PollDecision::Fetch`],
+    /// because a fetch for an announced revision is recorded here as made.
     pub fn decide_poll(&mut self, now: Timestamp, local: LocalState) -> PollDecision {
         let Some(revision) = local.revision.filter(|_| !local.needs_full_list) else {
             return PollDecision::Fetch;
--- a/crates/endpoint-watch/tests/golden.rs
+++ b/crates/endpoint-watch/tests/golden.rs
@@ -68,7 +68,7 @@
 
 /// Asserts that a heartbeat is encoded as the expected bytes, and that these are decoded as `read`.
 #[track_caller]
-fn assert_encoding_and_decoded(heartbeat: &Heartbeat, expected: &str, read: &Heartbeat) {
+fn assert_encoding_and_decoding(heartbeat: &Heartbeat, expected: &str, read: &Heartbeat) {
     let bytes = encode(heartbeat);
     assert_eq!(hex(&bytes), literal(expected));
     assert_eq!(decode(&bytes).as_ref(), Ok(read));
@@ -76,7 +76,7 @@
 
 #[track_caller]
 fn assert_encoding(heartbeat: &Heartbeat, expected: &str) {
-    assert_encoding_and_decoded(heartbeat, expected, heartbeat);
+    assert_encoding_and_decoding(heartbeat, expected, heartbeat);
 }
 
 #[track_caller]
@@ -127,7 +127,7 @@
 
 #[test]
 fn longest_heartbeat_keeps_its_bytes_and_hosts_beyond_it_are_left_out() {
-    assert_encoding_and_decoded(
+    assert_encoding_and_decoding(
         &with_many_hosts(61),
         "f1 0102030405060708 1112131415161718 3b
         21000000 21000001 21000002 21000003 21000004 21000005 21000006 21000007 21000008 21000009
@@ -140,7 +140,7 @@
     );
 }
 
-// Rejected datagrams. A heartbeat datagram has no kind field, so that no test covers an unknown kind.
+// Rejected datagrams. No test covers an unknown kind, because a heartbeat datagram has no kind field.
 
 #[test]
 fn empty_datagram_is_rejected_as_short() {
--- a/crates/pg/src/backend.rs
+++ b/crates/pg/src/backend.rs
@@ -5,8 +5,8 @@
 use crate::tag;
 use bytes::{BufMut, BytesMut};
 
-/// Parameters that the gateway sends to a client at the start of a session. Drivers choose the encoding of values by
-/// them.
+/// Parameters that the gateway sends to a client at the start of a session. Drivers choose the encoding of values
+/// based on them.
 const SESSION_PARAMETERS: [(&str, &str); 6] = [
     ("server_version", "16.0"),
     ("server_encoding", "UTF8"),
--- a/crates/pg/src/reply.rs
+++ b/crates/pg/src/reply.rs
@@ -19,7 +19,7 @@
 /// A database host's reply to one query, as far as it has arrived.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Reply {
-    /// The last message of the row that was received.
+    /// Progress of the row: which of its messages was received last.
     pub stage: Stage,
     /// SQLSTATE of the `ErrorResponse`; `None` if no error was received.
     pub error: Option<String>,
@@ -33,7 +33,7 @@
     pub value: Option<String>,
 }
 
-/// Progress of a reply. A reply with a row consists of one message for each of the later stages, in this order.
+/// Progress of the row in a reply. A row consists of `RowDescription`, `DataRow` and `CommandComplete`, in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Stage {
     /// No message of the row was received.
@@ -94,7 +94,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error unless a `RowDescription` was the last message of the row and there was no `ErrorResponse`.
+    /// Returns an error unless `RowDescription` was received, and neither a `DataRow` nor an `ErrorResponse` after it.
     pub fn record_forwarded_row(&mut self) -> Result<(), Malformed> {
         if self.stage != Stage::Described || self.error.is_some() {
             return Err(Malformed("a row that nothing describes"));
--- a/crates/pg/src/statement.rs
+++ b/crates/pg/src/statement.rs
@@ -13,7 +13,7 @@
     pub id: &'a str,
     /// Name of the request's class.
     pub class: &'a str,
-    /// Range in the statement of the text of the client's timeout (see `timeout_ms`).
+    /// Byte range within the statement of the number that `timeout_ms` was parsed from.
     pub timeout_range: Range<usize>,
     /// Time for which the client waits for the response, in milliseconds.
     pub timeout_ms: f64,
--- a/crates/pg/tests/reply.rs
+++ b/crates/pg/tests/reply.rs
@@ -17,7 +17,7 @@
     assert_eq!(reply.read_message(b'T', &column), Ok(true));
     assert!(
         reply.clone().read_message(b'T', &column).is_err(),
-        "described twice"
+        "a second RowDescription"
     );
     assert!(
         reply.clone().read_message(b'Z', b"I").is_err(),
--- a/crates/retry-storm/src/budget_lease.rs
+++ b/crates/retry-storm/src/budget_lease.rs
@@ -45,7 +45,7 @@
     /// The lease has expired.
     #[error("the lease has expired")]
     Expired,
-    /// The lease is longer than [`MAX_LEASE_DURATION`].
+    /// The lease expires later than [`MAX_LEASE_DURATION`] plus [`CLOCK_ERROR_MARGIN`] from now.
     #[error("the lease is too long")]
     TooLong,
     /// The amount is 0, or the sender's leases to this gateway add up to more than the sender's share.
@@ -91,8 +91,8 @@
 
 impl BudgetShare {
     /// Creates the share of a gateway that has restarted. None of it is usable until all leases that the previous
-    /// process may have granted have expired. `first_lease_number` is the number of the first lease; it must be random, so
-    /// that leases of the previous process are not mistaken for new ones.
+    /// process may have granted have expired. `first_lease_number` is the number of the first lease. It must be random,
+    /// so that leases of the previous process are not mistaken for new ones.
     pub fn after_restart(
         gateway: GatewayId,
         share: u32,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Creates the share for a host that appears while this gateway is running. It is usable at once, because no
-    /// earlier lease of it can exist.
+    /// Creates the share for a host that appears after this gateway has been running for a long time. The share is
+    /// usable at once, because no part of it can have been leased yet.
     pub fn for_new_host(
         gateway: GatewayId,
         share: u32,
@@ -148,8 +148,9 @@
         self.available_share(now) + held
     }
 
-    /// Grants a lease, whose amount this gateway does not use until the lease has expired. Returns `None` if the holder
-    /// is this gateway, the amount is 0 or not available, the duration is out of bounds, or there are too many leases.
+    /// Grants a lease. This gateway does not use the leased amount until the clock error margin after the lease has
+    /// expired. Returns `None` if the holder is this gateway, the amount is 0 or not available, the duration is out of
+    /// bounds, or there are too many leases.
     pub fn grant(
         &mut self,
         now: Nanos,
@@ -207,7 +208,7 @@
         if self.held.contains_key(&(owner, lease.number)) {
             return Err(LeaseRejected::Duplicate);
         }
-        // All gateways have shares of equal size, so that no sender can lease out more than this gateway's own share.
+        // The amounts in a message are not trusted. All shares are equal, so a sender owns no more than this gateway.
         let total = self.held_from(owner).saturating_add(lease.amount);
         if lease.amount == 0 || total > self.share {
             return Err(LeaseRejected::InvalidAmount);
--- a/crates/retry-storm/src/detector.rs
+++ b/crates/retry-storm/src/detector.rs
@@ -9,7 +9,7 @@
 
 /// Fraction of retries among all requests at which a storm starts.
 const START_FRACTION: f64 = 0.2;
-/// Fraction of retries among all requests below which a storm ends, once [`CALM_DURATION`] has passed.
+/// A storm ends when the fraction of retries among all requests has been below this value for [`CALM_DURATION`].
 const END_FRACTION: f64 = 0.07;
 /// Time for which the fraction of retries must stay below [`END_FRACTION`] before a storm ends.
 const CALM_DURATION: Nanos = 2 * SECOND;
@@ -21,7 +21,7 @@
 const MIN_STRENGTH: f64 = 0.05;
 /// Ratio of the current to the usual latency from which a group counts as slowed down.
 const SLOWDOWN_RATIO: f64 = 1.6;
-/// Time after a gateway's start during which clients may still retry because of answers from before the start.
+/// Time after a gateway's start during which clients may still retry because of answers that they received before it.
 const RESTART_DURATION: Nanos = 3 * SECOND;
 
 /// The inferred reason why clients retry. The variants are ordered by the strength of their evidence, weakest first.
@@ -31,7 +31,7 @@
     Unknown,
     /// This gateway has just started, and receives retries of requests that were sent before its start.
     Restart,
-    /// The members of the group are slower than usual.
+    /// All members of the group are slower than usual.
     Slowdown,
     /// Members have returned to service and are in slow start, with cold caches.
     SlowStart,
--- a/crates/retry-storm/src/lib.rs
+++ b/crates/retry-storm/src/lib.rs
@@ -2,8 +2,8 @@
 //! recovering host's budget. `docs/storms.md` compares the alternatives.
 //!
 //! The package does no I/O, reads no clock and generates no random numbers: the caller passes the time, and random
-//! numbers between 0 and 1. Its state consists of counts of retries, reservations and leases. The routing policy
-//! decides which member gets a request and which requests are rejected.
+//! numbers between 0 and 1. It keeps counts of recent retries, and it stores reservations and leases. The routing
+//! policy decides which member gets a request and which requests are rejected.
 
 pub mod budget_lease;
 pub mod decaying_count;
--- a/crates/retry-storm/src/recovery_schedule.rs
+++ b/crates/retry-storm/src/recovery_schedule.rs
@@ -14,7 +14,7 @@
 /// Maximum number of retry times that are kept by origin. Without a bound, requests of many origins would exhaust the
 /// memory.
 const MAX_RESERVATIONS: usize = 4096;
-/// Upper bound of [`Rejection::draw`]. It is below 1, so that the retry time lies within its slot.
+/// Maximum to which [`Rejection::draw`] is limited. It is below 1, so that the retry time lies within its slot.
 const MAX_DRAW: f64 = 0.999;
 
 /// Identifies a rejected request: the same value for all attempts of one request, as far as these can be recognised.
@@ -78,8 +78,8 @@
     /// Number of cores that the usual load leaves free.
     free_cores: f64,
     retry_times: HashMap<Origin, Nanos>,
-    /// Retry times in ascending order, for the removal of those that have passed. An entry may outlive the one in
-    /// `retry_times`.
+    /// Retry times in ascending order, for the removal of those that have passed. An entry may remain here after its
+    /// origin was removed from `retry_times`.
     expiry_queue: VecDeque<(Nanos, Origin)>,
 }
 
@@ -156,8 +156,8 @@
         }
     }
 
-    /// Records that a request of this origin arrived, and returns whether it is more than one slot length before its
-    /// retry time.
+    /// Records the arrival of a request, and returns whether it arrived more than one slot length before its retry
+    /// time. Unless it did, the retry time of its origin is removed.
     pub fn record_arrival(&mut self, now: Nanos, origin: Origin) -> bool {
         self.advance(now);
         match self.retry_times.get(&origin) {
@@ -244,8 +244,8 @@
         self.first_slot = present_slot;
     }
 
-    /// Removes retry times that passed more than one slot length ago. Later ones are kept, because clients retry a few
-    /// milliseconds late.
+    /// Removes retry times that passed more than one slot length ago. Times that passed more recently are kept, because
+    /// clients retry a few milliseconds late.
     fn remove_past_retry_times(&mut self, now: Nanos) {
         while let Some(&(retry_at, origin)) = self.expiry_queue.front() {
             if retry_at + SLOT_LENGTH >= now {
--- a/crates/retry-storm/src/retry_budget.rs
+++ b/crates/retry-storm/src/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Token budgets that limit the load in addition to first attempts: retries, hedged requests and connects.
+//! Token budgets that limit the load which is added to the first attempts: retries, hedged requests and connects.
 //!
 //! First attempts deposit tokens, and the rest of the load withdraws them. In a storm, first attempts deposit less and
 //! part of the tokens is reserved for requests of high worth, so that the load of low worth is rejected first.
--- a/crates/retry-storm/tests/budget_lease_model.rs
+++ b/crates/retry-storm/tests/budget_lease_model.rs
@@ -46,7 +46,7 @@
     gateway_count: u16,
     /// Length of a clock tick.
     tick: Nanos,
-    /// Time on the clock from the initial state to the last tick.
+    /// Time from the initial state after which the clock does not tick any more.
     duration: Nanos,
     /// Maximum number of leases that are granted.
     max_leases: u8,
@@ -202,7 +202,7 @@
     eprintln!("{states} states");
     assert!(
         violated || states < MAX_STATES,
-        "{states} states: not all of them were seen"
+        "the check is not exhaustive: it reached its limit with {states} states"
     );
     (states, violated)
 }
--- a/crates/retry-storm/tests/unit/recovery_schedule.rs
+++ b/crates/retry-storm/tests/unit/recovery_schedule.rs
@@ -96,7 +96,7 @@
         .count();
     assert_eq!(
         reserved, 49,
-        "a second of half a core, less the slot that has begun"
+        "half a core is free for one second, without the slot that has begun"
     );
     schedule.set_free_cores(10 * MILLISECOND, f64::NAN);
     assert!(
