--- a/crates/testbed/src/cluster/clock.rs
+++ b/crates/testbed/src/cluster/clock.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The run's clock: it starts at 0 with the run and never goes back.
+/// A monotonic clock that is 0 at the start of the run.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     start: Instant,
@@ -26,7 +26,7 @@
         as_ms(self.start.elapsed())
     }
 
-    /// Unix time in milliseconds.
+    /// Unix time in milliseconds; it advances with the monotonic clock.
     #[must_use]
     pub fn unix_ms(&self) -> u64 {
         self.start_unix_ms + self.now()
--- a/crates/testbed/src/cluster/counters.rs
+++ b/crates/testbed/src/cluster/counters.rs
@@ -1,13 +1,14 @@
-//! The counters of a gateway, as it prints them.
+//! Reads the counters that a gateway logs.
 
 use super::{Cluster, PATIENCE};
 use std::collections::BTreeMap;
 
-/// What the line of a gateway's counters contains before them.
+/// The text that precedes the counters in the log line of a gateway's counters.
 pub const COUNTERS_LINE: &str = ": counters ";
 
 impl Cluster {
-    /// Asks a gateway for its counters; none where it does not print them.
+    /// Makes a gateway log its counters (SIGUSR1) and returns them; `None` if it has not logged them within
+    /// [`PATIENCE`].
     #[must_use]
     pub fn counters(&self, gateway: usize) -> Option<BTreeMap<String, u64>> {
         let seen = self.history.look(<[_]>::len);
--- a/crates/testbed/src/cluster/error.rs
+++ b/crates/testbed/src/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Why a cluster of gateways could not be run.
+//! The errors of running a cluster of gateways.
 
 use super::MAX_GATEWAYS;
 use crate::sockets::SocketError;
@@ -6,58 +6,58 @@
 use std::path::PathBuf;
 use std::sync::mpsc::RecvError;
 
-/// Why a cluster could not be started, or one of its gateways.
+/// Why a cluster or one of its gateways could not be run.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The plan has no gateway, too many, or no zone.
+    /// The plan has no gateway, more than [`MAX_GATEWAYS`], or no zone.
     #[error("1 to {MAX_GATEWAYS} gateways and a zone at least, not {gateways}")]
     PlanSize {
         /// Number of gateways of the plan.
         gateways: usize,
     },
-    /// A file or folder of the run could not be written.
+    /// A file or directory of the run could not be written.
     #[error("{}: {source}", path.display())]
     File {
-        /// Its path.
+        /// Path of the file or directory.
         path: PathBuf,
         /// The system's reason.
         source: io::Error,
     },
-    /// The system gave no runtime for asynchronous tasks.
+    /// The runtime for asynchronous tasks could not be created.
     #[error("no runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The thread of the stand-ins ended before it had started them.
     #[error("no stand-ins: {0}")]
     StandIns(#[source] RecvError),
-    /// A stand-in or the relay has no socket.
+    /// A socket of a stand-in or the relay could not be created.
     #[error(transparent)]
     Socket(#[from] SocketError),
     /// The gateway's program could not be started.
     #[error("cannot start {}: {source}", program.display())]
     Spawn {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
         /// The system's reason.
         source: io::Error,
     },
-    /// The standard error of a gateway's process can't be read.
+    /// The standard error of a gateway's process, to which it logs, is not available.
     #[error("a gateway without a log")]
     NoLog,
-    /// A gateway did not listen in time.
+    /// A gateway did not log both its addresses in time.
     #[error("gateway {gateway} does not listen; it said:\n{log}")]
     NotListening {
-        /// Its number.
+        /// Number of the gateway.
         gateway: usize,
-        /// The lines of its log, each indented and ended.
+        /// The lines of its log, each indented and followed by a line break.
         log: String,
     },
-    /// The gateways' views of one another did not become one in time.
+    /// The gateways' views of one another did not agree in time.
     #[error("the fleet does not see itself whole")]
     ViewsDiffer,
-    /// A set had no holder of its lease in time.
+    /// The lease of a set was not acquired by any gateway in time.
     #[error("a set has no owner")]
     NoLeaseHolder,
-    /// A thread that ran one of several runs panicked.
+    /// A worker thread panicked in one of several parallel runs.
     #[error("a run panicked")]
     Panicked,
 }
--- a/crates/testbed/src/cluster/gateway_config.rs
+++ b/crates/testbed/src/cluster/gateway_config.rs
@@ -1,4 +1,4 @@
-//! The configuration that a gateway of a cluster starts with.
+//! Builds the configuration with which a gateway of a cluster is started.
 
 use super::{Cluster, EndpointListMode};
 use crate::scenario::Scenario;
@@ -6,14 +6,15 @@
 use irisrouter_simulation::spec::Spec;
 use serde_json::{json, Value};
 
-/// Longest pause that a refusal asks clients to keep, in nanoseconds.
+/// Longest wait before a retry that a gateway may ask of clients when it rejects a request, in nanoseconds.
 const MAX_RETRY_AFTER_NS: u64 = 5_000_000_000;
 
-/// Gateways of a fleet that shares health checks, as a gateway is told; those that do not run are unreachable.
+/// Configured number of gateways in a fleet that shares health checks. Most of them do not exist: they have addresses
+/// that cannot be reached.
 const SHARING_GATEWAYS: usize = 900;
 
 impl Cluster {
-    /// The configuration for the next start of a gateway, with these deadlines in percent of the default ones.
+    /// The configuration for the next start of a gateway, with deadlines of this percentage of the default ones.
     pub(super) fn gateway_config(&self, gateway: usize, deadline_percent: u64) -> Value {
         let peers = self.peer_addresses(gateway);
         let starts = u64::from(self.slots[gateway].starts);
@@ -34,7 +35,7 @@
         })
     }
 
-    /// The addresses at which a gateway knows each gateway of the fleet.
+    /// The addresses at which a gateway reaches each gateway of the fleet.
     fn peer_addresses(&self, gateway: usize) -> Vec<String> {
         let known = self.relay.known[gateway].iter();
         let mut addresses: Vec<String> = known
@@ -55,7 +56,7 @@
         addresses
     }
 
-    /// The platform's settings object as a gateway gets it.
+    /// The settings object that the platform passes to a gateway.
     fn platform_settings(&self, gateway: usize, deadline_percent: u64) -> Value {
         let mut scenario = Scenario {
             title: "cluster".into(),
--- a/crates/testbed/src/cluster/leases.rs
+++ b/crates/testbed/src/cluster/leases.rs
@@ -1,9 +1,10 @@
-//! Checks the leases of a run by what the database hosts observed: every task has one holder at a time, and none is lost.
+//! Checks the leases of a run against what the database hosts recorded: every task has at most one holder at a time,
+//! and no task is left without a holder.
 //!
-//! A host records each health check with the gateway that sent it and the fencing token that it carried, so the check rests
-//! on what arrived, and not on what gateways report of themselves:
+//! A host records each health check with the gateway that sent it and the fencing token that it carried, so the check
+//! uses what the hosts received and not what gateways report about themselves:
 //!
-//! - an epoch of a task belongs to one process of one gateway;
+//! - only one gateway uses an epoch of a task;
 //! - the epochs that a host accepted never decrease;
 //! - no task is without an accepted health check for longer than the bound.
 
@@ -14,18 +15,18 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// The part of a run that is checked. Times are milliseconds since the start of the run.
+/// The part of a run that is checked for gaps. Times are milliseconds since the start of the run.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// The length of a lease in the run, in milliseconds.
+    /// Duration of a lease in the run, in milliseconds.
     pub lease_ms: u64,
-    /// The start of the part.
+    /// Start of the checked part.
     pub from: u64,
-    /// Its end.
+    /// End of the checked part.
     pub until: u64,
 }
 
-/// A rule that did not hold. Times are milliseconds since the start of the run.
+/// A violated rule of the leases. Times are milliseconds since the start of the run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeaseViolation {
     /// Two gateways used one epoch.
@@ -34,34 +35,34 @@
         set: u64,
         /// The epoch.
         epoch: u64,
-        /// The first gateway that used it, and another.
+        /// The first gateway that used the epoch, and another one that used it.
         gateways: [usize; 2],
     },
-    /// A host accepted an epoch after a later one.
+    /// A host accepted an epoch after it had seen a later one.
     OlderEpochAccepted {
         /// The set.
         set: u64,
-        /// When.
+        /// Time at which the host accepted the older epoch.
         at: u64,
-        /// The epoch accepted.
+        /// The older epoch.
         epoch: u64,
-        /// The later one that the host had seen.
+        /// The latest epoch that the host had seen.
         latest: u64,
     },
-    /// A set had no accepted health check for too long.
+    /// A set had no accepted health check for longer than the bound.
     Gap {
         /// The set.
         set: u64,
-        /// How long, in milliseconds.
+        /// Time between the two accepted health checks, in milliseconds.
         gap_ms: u64,
-        /// When it ended.
+        /// Time of the health check that ended the gap.
         ended_at: u64,
     },
-    /// A set had no accepted health check at the end.
+    /// A set had no accepted health check for longer than the bound at the end of the checked part.
     Abandoned {
         /// The set.
         set: u64,
-        /// The time of the last one.
+        /// Time of the last accepted health check, or the start of the checked part.
         since: u64,
     },
 }
@@ -102,19 +103,21 @@
 /// The result of the check.
 #[derive(Debug, Clone, Default)]
 pub struct LeaseFindings {
-    /// The rules that did not hold.
+    /// The violations that were found.
     pub violations: Vec<LeaseViolation>,
-    /// For each change of holder: how long the task had none before it, in milliseconds.
+    /// For each change of a task's holder: time between the last health check by the former holder and the first by
+    /// the new one, in milliseconds.
     pub takeover_gaps_ms: Vec<u64>,
-    /// Number of health checks that a host refused, as their token was older than one that it had seen.
+    /// Number of health checks that hosts refused because they had seen a later token.
     pub refused_health_checks: usize,
 }
 
-/// Added to the bound: a round of health checks takes a fifth of a second, and a busy machine is slower.
+/// Added to the bound, in milliseconds, because a round of health checks takes a fifth of a second and a busy machine
+/// is slower.
 const SLACK_MS: u64 = 1_500;
 
 impl Cluster {
-    /// The health checks of a set's hosts, in order of time.
+    /// The health checks that a set's hosts received, in order of time.
     #[must_use]
     pub fn probes(&self, set: u64) -> Vec<Probe> {
         let hosts = self.hosts.iter().filter(|host| host.set == set);
@@ -123,8 +126,8 @@
         probes
     }
 
-    /// The gateway whose health check of a set was the last that a host accepted with a token, within the last `within_ms`
-    /// milliseconds.
+    /// The gateway that sent the set's last health check that carried a token and was accepted by a host; `None` if
+    /// that was more than `within_ms` milliseconds ago.
     #[must_use]
     pub fn prober(&self, set: u64, within_ms: u64) -> Option<usize> {
         let since = self.clock.now().saturating_sub(within_ms);
@@ -133,13 +136,13 @@
         (last.at >= since).then_some(last.gateway)
     }
 
-    /// Whether every set had a health check accepted with a token within the last `within_ms` milliseconds.
+    /// Whether each set has had an accepted health check with a token within the last `within_ms` milliseconds.
     #[must_use]
     pub fn every_set_has_holder(&self, within_ms: u64) -> bool {
         (0..self.plan.sets).all(|set| self.prober(set, within_ms).is_some())
     }
 
-    /// The gateway that reports on its console that it holds the lease on a set.
+    /// The first running gateway whose console reports that it holds the lease on a set.
     #[must_use]
     pub fn owner(&self, set: u64) -> Option<usize> {
         let entry = format!("{set}:");
@@ -151,12 +154,12 @@
     }
 }
 
-/// Whether a health check carried a token, and the host accepted it.
+/// Returns whether a health check carried a token and was accepted by the host.
 pub(super) fn is_accepted(probe: &Probe) -> bool {
     !probe.refused && probe.token.is_some()
 }
 
-/// Checks what the hosts of every set observed.
+/// Checks what the hosts of every set recorded.
 #[must_use]
 pub fn check(cluster: &Cluster, bounds: Bounds) -> LeaseFindings {
     let mut findings = LeaseFindings::default();
@@ -167,7 +170,7 @@
     findings
 }
 
-/// Checks that each epoch of a set was used by one gateway, and that no host accepted an older one after a later one.
+/// Checks that each epoch of a set was used by only one gateway, and that no host accepted an epoch after a later one.
 fn check_epochs(cluster: &Cluster, set: u64, findings: &mut LeaseFindings) {
     let mut holders: BTreeMap<u64, usize> = BTreeMap::new();
     for host in cluster.hosts.iter().filter(|host| host.set == set) {
@@ -201,7 +204,7 @@
     }
 }
 
-/// Checks that a set was never without an accepted health check for longer than the bound.
+/// Checks that the time between two accepted health checks of a set never exceeded the bound.
 fn check_gaps(cluster: &Cluster, set: u64, bounds: Bounds, findings: &mut LeaseFindings) {
     let settings = Settings {
         fleet: cluster.plan.gateways as u32,
--- a/crates/testbed/src/cluster/load.rs
+++ b/crates/testbed/src/cluster/load.rs
@@ -1,4 +1,4 @@
-//! The clients of a cluster: connections that send one request after the other, and what each was answered.
+//! The clients of a cluster: connections that send one request after the other and record each outcome.
 
 use super::{Cluster, ClusterError};
 use std::future::Future;
@@ -8,19 +8,19 @@
 use std::time::Duration;
 use tokio_postgres::{Client, NoTls};
 
-/// The class of page reads.
+/// Class name of page reads.
 pub const PAGE_READ: &str = "page-read";
-/// The class of reports, which are worth more than page reads.
+/// Class name of reports, whose value is higher than that of page reads.
 pub const REPORT: &str = "report";
-/// The sets that clients ask, in turn.
+/// Number of sets to which clients send requests, in turn.
 const SETS: u64 = 3;
 
-/// Why a request was not served.
+/// The error with which a request ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Rejection {
-    /// The SQLSTATE; `closed` where the connection ended.
+    /// The SQLSTATE; `closed` for an error that is not from the server, such as a closed connection.
     pub code: String,
-    /// The detail of the error; empty where it has none.
+    /// The detail field of the error; empty if it has none.
     pub detail: String,
 }
 
@@ -39,48 +39,48 @@
     }
 }
 
-/// How one request of a client ended.
+/// The outcome of one request of a client.
 #[derive(Debug, Clone)]
 pub struct RequestOutcome {
-    /// When, in milliseconds since the start of the run.
+    /// Time at which the request ended, in milliseconds since the start of the run.
     pub at_ms: u64,
     /// The class of the request.
     pub class: &'static str,
-    /// The set that it asked.
+    /// The set to which it was sent.
     pub set: u64,
-    /// Why it was rejected or failed; none where it was served.
+    /// Why it was rejected or failed; `None` if it was served.
     pub rejection: Option<Rejection>,
 }
 
 impl RequestOutcome {
-    /// Whether the request was served.
+    /// Returns whether the request was served.
     #[must_use]
     pub fn is_served(&self) -> bool {
         self.rejection.is_none()
     }
 }
 
-/// What the clients send.
+/// The number of clients and the requests that they send.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadProfile {
-    /// Connections to each gateway.
+    /// Number of connections to each gateway.
     pub connections_per_gateway: usize,
-    /// From an answer to the next request of the same connection.
+    /// Time from an answer to the next request on the same connection.
     pub pause: Duration,
-    /// One request in this many is a page read, the others are reports.
+    /// One request in this many to each set is a page read; the others are reports.
     pub requests_per_page_read: u64,
-    /// How long clients wait for an answer, in milliseconds.
+    /// The deadline that clients state in each request, in milliseconds after the request.
     pub timeout_ms: u64,
 }
 
-/// Clients that send requests until they are stopped.
+/// A number of clients that send requests until they are stopped.
 pub struct Load {
     profile: LoadProfile,
     stopped: AtomicBool,
     outcomes: Mutex<Vec<RequestOutcome>>,
 }
 
-/// Stops the clients when it is dropped, also where a run panics.
+/// Stops the clients when it is dropped, also when the run panics.
 pub struct StopOnDrop<'a>(pub &'a Load);
 
 impl Drop for StopOnDrop<'_> {
@@ -90,7 +90,7 @@
 }
 
 impl Load {
-    /// Clients that have not begun.
+    /// Creates clients that do not send requests yet.
     #[must_use]
     pub fn new(profile: LoadProfile) -> Self {
         Load {
@@ -100,10 +100,11 @@
         }
     }
 
-    /// Sends requests to these gateways until the clients are stopped. A client whose gateway is gone ends.
+    /// Sends requests to these gateways until the clients are stopped. A client ends if it cannot connect to its
+    /// gateway.
     ///
     /// # Errors
-    /// There is no runtime.
+    /// The runtime cannot be created.
     pub fn run(&self, cluster: &Cluster, gateways: &[usize]) -> Result<(), ClusterError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -132,7 +133,7 @@
         !self.stopped.load(Ordering::Relaxed)
     }
 
-    /// One client: a connection, and another one when that has ended.
+    /// Runs one client, which reconnects when its connection has ended.
     async fn run_client(&self, cluster: &Cluster, gateway: usize, number: usize) {
         let Some(address) = cluster.process(gateway).map(|process| process.address) else {
             return;
@@ -155,7 +156,7 @@
         }
     }
 
-    /// Sends the request of this number of a client, and waits for its end.
+    /// Sends a client's request with this sequence number and waits until it ends.
     async fn request(
         &self,
         cluster: &Cluster,
@@ -184,7 +185,8 @@
         outcomes.unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The requests that ended from `from` until before `to`, in milliseconds since the start of the run.
+    /// The outcomes of the requests that ended at `from` or later and before `to`, both in milliseconds since the
+    /// start of the run.
     #[must_use]
     pub fn outcomes_between(&self, from: u64, to: u64) -> Vec<RequestOutcome> {
         self.outcomes()
--- a/crates/testbed/src/cluster/mod.rs
+++ b/crates/testbed/src/cluster/mod.rs
@@ -1,9 +1,9 @@
-//! Several real gateways as processes on loopback, with faults between them: dropped, late and cut datagrams, links to
-//! hosts cut, processes stalled (SIGSTOP, SIGCONT), killed and started again. Every run is bounded, ends by itself and
-//! ends only the processes that it started.
+//! Runs several real gateways as processes on loopback and injects faults: datagrams between gateways are dropped or
+//! delayed, links between gateways or to hosts are cut, and processes are stalled (SIGSTOP, SIGCONT), killed and
+//! restarted. Every run is bounded in time, ends by itself and ends only the processes that it started.
 //!
-//! [`Cluster`] is the tool that tests use by hand; [`schedule`] draws whole sequences of faults from a seed, runs them
-//! and checks what the gateways logged.
+//! Tests drive a [`Cluster`] step by step; [`schedule`] draws whole sequences of faults from a seed, runs them and
+//! checks what the gateways logged.
 
 mod clock;
 mod counters;
@@ -39,9 +39,10 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Bounds each wait for a condition that fails; no result depends on its length.
+/// Longest wait for a condition before it counts as failed; the result of a successful wait does not depend on it.
 pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Most gateways of a cluster, as the loopback of one machine is not a fleet's network.
+/// Maximum number of gateways of a cluster, because the loopback of one machine cannot stand for a larger fleet's
+/// network.
 pub const MAX_GATEWAYS: usize = 24;
 
 /// How gateways learn the list of database hosts.
@@ -53,38 +54,38 @@
     Polled,
 }
 
-/// What is started.
+/// The description of a cluster: what [`Cluster::start`] starts.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// Number of gateways, 1 to [`MAX_GATEWAYS`].
     pub gateways: usize,
     /// Number of sets, each of a primary and a replica.
     pub sets: u64,
-    /// Number of further sets, each of a primary and eleven replicas. Where there are any, a gateway that the testbed
-    /// plays sends the health checks of all sets.
+    /// Number of additional sets, each of a primary and eleven replicas. If it is not 0, a gateway played by the
+    /// testbed sends the health-check results of all sets.
     pub listed_sets: u64,
-    /// The zones, to which gateways and hosts are assigned in turn; one at least.
+    /// The zones, to which gateways and hosts are assigned in turn; at least one.
     pub zones: Vec<String>,
-    /// Seeds every draw of the run.
+    /// The seed of all random draws of the run.
     pub seed: u64,
-    /// The gateway's program.
+    /// Path of the gateway's executable.
     pub program: PathBuf,
-    /// The text of the operators' file; the gateways have none where it is empty.
+    /// Content of the operators' file; if it is empty, the gateways are started without one.
     pub operators: String,
     /// How gateways learn the list of database hosts.
     pub endpoint_list: EndpointListMode,
-    /// The deadlines of all classes, in percent of what they are by default.
+    /// The deadlines of all classes, in percent of their default values.
     pub deadline_percent: u64,
-    /// The limits of each gateway.
+    /// Resource limits of each gateway.
     pub limits: GatewayLimits,
 }
 
-/// The limits of a gateway's process.
+/// Resource limits that a gateway's configuration sets for its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct GatewayLimits {
-    /// Its memory.
+    /// Memory limit, in megabytes.
     pub memory_mb: u64,
-    /// Its descriptors.
+    /// Maximum number of open sockets.
     pub sockets: u64,
 }
 
@@ -97,7 +98,7 @@
     }
 }
 
-/// The slot of a gateway: its process while it runs, and how often it was started.
+/// The state of a gateway: its process while it runs, and how often it was started.
 #[derive(Default)]
 struct Slot {
     process: Option<Process>,
@@ -118,18 +119,19 @@
     slots: Vec<Slot>,
     /// The list of database hosts.
     pub discovery: Discovery,
-    /// The gateway that checks all sets for the others, where there are listed sets.
+    /// The gateway, played by the testbed, that checks the hosts of all sets; `None` if the plan has no listed sets.
     pub checking_gateway: Option<CheckingGateway>,
     directory: PathBuf,
-    /// Ends the stand-ins' thread when it is dropped.
+    /// Ends the thread of the stand-ins when it is dropped.
     _stop_stand_ins: oneshot::Sender<()>,
 }
 
 impl Cluster {
-    /// Starts everything and waits until each gateway listens.
+    /// Starts the stand-ins and all gateways, and waits until each gateway listens.
     ///
     /// # Errors
-    /// The plan is too large, there are no sockets, or a gateway does not start.
+    /// The plan's number of gateways is out of range, it has no zone, a socket or file cannot be created, or a gateway
+    /// does not start.
     pub fn start(plan: Plan) -> Result<Self, ClusterError> {
         if plan.gateways == 0 || plan.gateways > MAX_GATEWAYS || plan.zones.is_empty() {
             return Err(ClusterError::PlanSize {
@@ -166,7 +168,7 @@
         Ok(cluster)
     }
 
-    /// The operators' file of the gateways, where they have one.
+    /// Path of the gateways' operators' file; `None` if the plan has none.
     fn operators_file(&self) -> Option<PathBuf> {
         let exists = !self.plan.operators.is_empty();
         exists.then(|| self.directory.join("operators.jsonnet"))
@@ -181,7 +183,7 @@
     /// Starts a gateway that does not run.
     ///
     /// # Errors
-    /// It does not start: the reason and its log.
+    /// The gateway does not start; the error has the reason, and the log of a gateway that did not listen in time.
     pub fn launch(&mut self, gateway: usize) -> Result<(), ClusterError> {
         let process = Process::start(&Launch {
             program: &self.plan.program,
@@ -201,44 +203,44 @@
         Ok(())
     }
 
-    /// Kills a gateway at once.
+    /// Kills a gateway immediately (SIGKILL).
     pub fn crash(&mut self, gateway: usize) {
         if let Some(process) = self.slots[gateway].process.take() {
             process.crash();
         }
     }
 
-    /// Sends a gateway SIGTERM, and waits for its end: its exit code.
+    /// Sends a gateway SIGTERM, waits until it has exited, and returns its exit code.
     pub fn terminate(&mut self, gateway: usize) -> Option<i32> {
         let process = self.slots[gateway].process.take()?;
         process.signal("-TERM");
         process.wait_for_exit()
     }
 
-    /// Stops a gateway without ending it.
+    /// Suspends a gateway's process (SIGSTOP).
     pub fn stall(&self, gateway: usize) {
         self.signal(gateway, "-STOP");
     }
 
-    /// Lets a stalled gateway go on.
+    /// Resumes a stalled gateway (SIGCONT).
     pub fn resume(&self, gateway: usize) {
         self.signal(gateway, "-CONT");
     }
 
-    /// Sends a gateway's process a signal, named as `kill` takes it.
+    /// Sends a gateway's process a signal, given as an option of the `kill` command, such as `-HUP`.
     pub fn signal(&self, gateway: usize, name: &str) {
         if let Some(process) = self.process(gateway) {
             process.signal(name);
         }
     }
 
-    /// A gateway's process, while it runs.
+    /// Returns a gateway's process, or `None` if it does not run.
     #[must_use]
     pub fn process(&self, gateway: usize) -> Option<&Process> {
         self.slots[gateway].process.as_ref()
     }
 
-    /// Gives a gateway new deadlines, in percent of the default ones, and lets it read its configuration again.
+    /// Changes a gateway's deadlines, in percent of the default ones, and makes it reload its configuration (SIGHUP).
     ///
     /// # Errors
     /// The configuration cannot be written.
@@ -250,12 +252,12 @@
         Ok(())
     }
 
-    /// How a gateway's process has ended by itself; `None` while it runs.
+    /// Exit status of a gateway's process that ended by itself; `None` while it runs.
     pub fn exit_status(&mut self, gateway: usize) -> Option<ExitStatus> {
         self.slots[gateway].process.as_mut()?.exit_status()
     }
 
-    /// Gateways whose processes run, or are stalled.
+    /// The gateways that have a process, whether it runs or is stalled.
     #[must_use]
     pub fn running(&self) -> Vec<usize> {
         (0..self.slots.len())
@@ -263,7 +265,7 @@
             .collect()
     }
 
-    /// Cuts every pair of gateways across the two sides, both ways.
+    /// Drops all datagrams between the gateways of the two sides, in both directions.
     pub fn partition(&self, left: &[usize], right: &[usize]) {
         let mut network = self.relay.network();
         for &a in left {
@@ -274,7 +276,7 @@
         }
     }
 
-    /// Lifts every cut, loss and delay between gateways, and every cut between gateways and hosts.
+    /// Removes every cut, loss and delay between gateways, and every cut between gateways and hosts.
     pub fn heal(&self) {
         let mut network = self.relay.network();
         network.cuts.clear();
@@ -296,7 +298,7 @@
     }
 }
 
-/// Creates the folder of a run, which no other run of this process or another one uses.
+/// Creates the directory of a run; its name has the process id and a counter, so that no two runs share it.
 fn create_run_directory() -> Result<PathBuf, ClusterError> {
     static RUNS: AtomicU32 = AtomicU32::new(0);
     let run = RUNS.fetch_add(1, Ordering::Relaxed);
--- a/crates/testbed/src/cluster/parallel.rs
+++ b/crates/testbed/src/cluster/parallel.rs
@@ -1,12 +1,13 @@
-//! Several runs at once.
+//! Runs several seeds in parallel.
 
 use super::ClusterError;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Runs `run` for each seed on `workers` threads: the results in the order in which each worker had them.
+/// Calls `run` for each seed on `workers` threads, and returns the results grouped by thread; those of a thread are in
+/// the order in which it obtained them.
 ///
 /// # Errors
-/// The first run that could not be started.
+/// The error of a run that failed, or that a worker thread panicked.
 pub fn run_in_parallel<T: Send>(
     seeds: &[u64],
     workers: usize,
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! The process of a gateway: started, stopped by signals to the process that was started here, and read by its log.
+//! The process of a gateway: starts it, sends it signals and collects its log.
 
 use super::{Clock, ClusterError};
 use serde_json::Value;
@@ -19,21 +19,21 @@
     pub run: u32,
 }
 
-/// A line of a gateway's log.
+/// A line of a gateway's log, which it writes to standard error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Line {
-    /// When it was read, in milliseconds since the start of the run.
+    /// Time at which the line was read, in milliseconds since the start of the run.
     pub at: u64,
     /// The gateway that logged it.
     pub gateway: usize,
-    /// Which of the gateway's processes, counted from 0.
+    /// How often the gateway had been started before the process that logged the line.
     pub run: u32,
-    /// The line without its end.
+    /// The line without its line break.
     pub text: String,
 }
 
 impl Line {
-    /// Whether this process logged it.
+    /// Returns whether this process logged the line.
     #[must_use]
     pub fn is_of(&self, id: ProcessId) -> bool {
         self.gateway == id.gateway && self.run == id.run
@@ -46,7 +46,7 @@
     line_added: Condvar,
 }
 
-/// Every line of every gateway, in the order in which they were read.
+/// The log lines of all gateways, in the order in which they were read.
 #[derive(Clone, Default)]
 pub struct History(Arc<SharedHistory>);
 
@@ -61,12 +61,12 @@
         self.0.line_added.notify_all();
     }
 
-    /// Applies a function to the lines so far.
+    /// Applies a function to the lines that have been read so far.
     pub fn look<R>(&self, inspect: impl FnOnce(&[Line]) -> R) -> R {
         inspect(&self.lines())
     }
 
-    /// Waits until a function of the lines gives a result, or none where `timeout` is over first.
+    /// Waits until `inspect` returns a result for the lines; returns `None` if it has not within `timeout`.
     pub fn wait<R>(
         &self,
         timeout: Duration,
@@ -85,16 +85,15 @@
     }
 }
 
-/// The processes that were started here and have not been waited for.
+/// Ids of the processes that this program started and has not waited for yet.
 static STARTED: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn started() -> MutexGuard<'static, BTreeSet<u32>> {
     STARTED.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Ends every gateway that was started here, for a program that receives a signal to end: the threads that own them don't
-/// run on.
-/// Without it gateways would outlive the run and load the machine for ever.
+/// Kills every gateway that this program started. A program calls it when a signal ends it, because the threads that
+/// own the gateways are then not unwound: otherwise the gateways would outlive the run and load the machine for ever.
 pub fn end_all() {
     for process_id in started().iter() {
         let _ = Command::new("kill")
@@ -103,21 +102,21 @@
     }
 }
 
-/// What a gateway's process is started with.
+/// The parameters with which a gateway's process is started.
 pub struct Launch<'a> {
-    /// The gateway's program.
+    /// Path of the gateway's executable.
     pub program: &'a Path,
-    /// Its configuration.
+    /// The gateway's configuration.
     pub config: &'a Value,
-    /// The folder of its run, for the configuration file: several clusters may run in one process.
+    /// Directory of the run, for the configuration file: several clusters may run in one process, so each has its own.
     pub directory: &'a Path,
-    /// The operators' file, where there is one.
+    /// Path of the operators' file, if there is one.
     pub operators: Option<&'a Path>,
-    /// Which run of which gateway it is.
+    /// The gateway and its run.
     pub id: ProcessId,
-    /// Where its log lines go.
+    /// The history to which the process's log lines are added.
     pub history: &'a History,
-    /// The run's clock, by which log lines get their times.
+    /// The clock of the run, which gives log lines their times.
     pub clock: Clock,
 }
 
@@ -125,16 +124,17 @@
 pub struct Process {
     child: Child,
     config: PathBuf,
-    /// Where clients connect.
+    /// The address at which it accepts clients.
     pub address: SocketAddr,
-    /// Where operators connect.
+    /// The address of its console, at which it accepts operators.
     pub console: SocketAddr,
 }
 
-/// A gateway listens within this time after its start.
+/// Longest time from the start of a gateway until it has logged both its addresses.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Environment variables that would override the configuration, and are not passed on.
+/// Environment variables that would override the configuration file, so they are removed from the gateway's
+/// environment.
 const OVERRIDES: [&str; 5] = [
     "BALANCER_LISTEN",
     "BALANCER_DISCOVERY",
@@ -147,7 +147,7 @@
     /// Starts a gateway's process and waits until it listens.
     ///
     /// # Errors
-    /// The program is missing, ends, or does not listen in time.
+    /// The configuration file cannot be written, the program cannot be started, or it does not listen in time.
     pub fn start(launch: &Launch<'_>) -> Result<Self, ClusterError> {
         let config = launch.config_file();
         super::write_file(&config, &launch.config.to_string())?;
@@ -180,20 +180,20 @@
         }
     }
 
-    /// The system's number of the process.
+    /// The process id of the operating system.
     #[must_use]
     pub fn system_id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends the process a signal, named as `kill` takes it.
+    /// Sends the process a signal, given as an option of the `kill` command, such as `-HUP`.
     pub fn signal(&self, name: &str) {
         let _ = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
     }
 
-    /// Replaces its configuration, which it reads again on SIGHUP.
+    /// Replaces the process's configuration file, which it reads again on SIGHUP.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -201,17 +201,17 @@
         super::write_file(&self.config, &config.to_string())
     }
 
-    /// How it has ended by itself; `None` while it runs.
+    /// Exit status of a process that ended by itself; `None` while it runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Ends it at once, as a crash does.
+    /// Kills the process (SIGKILL), as in a crash.
     pub fn crash(mut self) {
         self.end();
     }
 
-    /// Waits for its end: its exit code.
+    /// Waits until the process has exited and returns its exit code; `None` if a signal ended it.
     pub fn wait_for_exit(mut self) -> Option<i32> {
         let code = self.child.wait().ok().and_then(|status| status.code());
         started().remove(&self.child.id());
@@ -240,7 +240,7 @@
 }
 
 impl Launch<'_> {
-    /// The file for the configuration.
+    /// Path of the configuration file, one for each run of each gateway.
     fn config_file(&self) -> PathBuf {
         let ProcessId { gateway, run } = self.id;
         self.directory.join(format!("gateway-{gateway}-{run}.json"))
@@ -262,7 +262,7 @@
         command
     }
 
-    /// Adds the process's log lines to the history, on a thread of its own that ends with the log.
+    /// Starts a thread that adds the process's log lines to the history; it ends at the end of the log.
     fn collect_log(&self, log: ChildStderr) {
         let history = self.history.clone();
         let (clock, id) = (self.clock, self.id);
@@ -278,7 +278,7 @@
         });
     }
 
-    /// Waits until the process has logged both addresses; none where it does not in time.
+    /// Waits until the process has logged both addresses; `None` if it has not within [`READY_TIMEOUT`].
     fn wait_for_addresses(&self) -> Option<Addresses> {
         let logged_after = |lines: &[Line], words: &str| {
             let own = lines.iter().filter(|line| line.is_of(self.id));
@@ -293,7 +293,7 @@
         })
     }
 
-    /// The lines that the process has logged, each indented and ended.
+    /// The lines that the process has logged, each indented and followed by a line break.
     fn logged(&self) -> String {
         self.history.look(|lines| {
             let own = lines.iter().filter(|line| line.is_of(self.id));
--- a/crates/testbed/src/cluster/processor.rs
+++ b/crates/testbed/src/cluster/processor.rs
@@ -1,4 +1,4 @@
-//! What a process uses of the machine, and a limit on its share of a core.
+//! Measures the resource usage of a process, and limits its share of a processor core.
 
 use rustix::process::{kill_process, Pid, Signal};
 use std::fs;
@@ -7,25 +7,26 @@
 use std::thread::{sleep, spawn, JoinHandle};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at a process whose share is limited.
+/// Time between two checks of a process whose share is limited.
 const SHARE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
-/// How far a process may be ahead of its share before it is stopped.
+/// Processor time by which a process may exceed its share before it is stopped.
 const MAX_AHEAD: Duration = Duration::from_millis(2);
-/// How much of its share a process may save up while it rests.
+/// Maximum unused processor time that an idle process accumulates; all of it is forfeited when it exceeds this, so
+/// that no long burst follows.
 const MAX_SAVED: Duration = Duration::from_millis(10);
 
-/// What a process has used so far.
+/// The resource usage of a process since its start.
 #[derive(Clone, Copy, Debug)]
 pub struct ProcessUsage {
-    /// Its processor time.
+    /// Processor time that it has used.
     pub processor_time: Duration,
-    /// The most memory that it has had.
+    /// Peak resident memory, in kilobytes.
     pub peak_memory_kb: u64,
-    /// Its open descriptors.
+    /// Number of file descriptors that are open now.
     pub descriptors: usize,
 }
 
-/// What a process with one thread has used so far; none where it has ended.
+/// Reads the resource usage of a process with one thread; `None` if the process has ended.
 #[must_use]
 pub fn usage(process_id: u32) -> Option<ProcessUsage> {
     let status = fs::read_to_string(format!("/proc/{process_id}/status")).ok()?;
@@ -39,22 +40,22 @@
     })
 }
 
-/// The processor time of a process with one thread; none once it has ended.
+/// Reads the processor time of a process with one thread; `None` if the process has ended.
 fn processor_time(process_id: u32) -> Option<Duration> {
     let statistics = fs::read_to_string(format!("/proc/{process_id}/schedstat")).ok()?;
     let nanoseconds = statistics.split(' ').next()?.parse().ok()?;
     Some(Duration::from_nanos(nanoseconds))
 }
 
-/// Holds a process to a share of a core until this is dropped: it is stopped and continued by the processor time that
-/// it has used.
+/// Limits a process to a share of a core until this is dropped: a thread stops the process (SIGSTOP) when it has used
+/// more processor time than its share, and continues it (SIGCONT) when its share has caught up.
 pub struct ProcessorShare {
     ended: Arc<AtomicBool>,
     limiter: Option<JoinHandle<()>>,
 }
 
 impl ProcessorShare {
-    /// Limits a process with one thread to this part of a core.
+    /// Starts to limit a process with one thread to this share of a core, 0 to 1.
     #[must_use]
     pub fn limit(process_id: u32, share: f64) -> Self {
         let ended = Arc::new(AtomicBool::new(false));
@@ -79,7 +80,7 @@
     }
 }
 
-/// The processor time that a process may use, and what it has used.
+/// The processor time that a process is allowed to use and that it has used since the start of the account.
 struct Account {
     process_id: u32,
     share: f64,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Stops the process for as long as it is ahead of its share; none once it has ended.
+    /// Checks the process once, and stops it for as long as it exceeds its share; `None` if the process has ended.
     fn enforce(&mut self) -> Option<()> {
         let used = processor_time(self.process_id)?.saturating_sub(self.used_before);
         let allowed = self.since.elapsed().mul_f64(self.share);
--- a/crates/testbed/src/cluster/relay.rs
+++ b/crates/testbed/src/cluster/relay.rs
@@ -1,6 +1,7 @@
-//! The fault proxy of the datagrams between gateways: each gateway knows every other one by an address of its own, a
-//! socket of the relay, and what it receives comes from that address, as on the platform. Between the two, datagrams are
-//! dropped by a seeded draw, held for a time, and cut one way or both.
+//! The fault proxy for the datagrams between gateways. The relay has a socket for each ordered pair of gateways: a
+//! gateway sends to another one at the address of such a socket, and receives the other one's datagrams from that
+//! address, as on the platform. The relay drops datagrams with a seeded probability, delays them, and cuts a link in
+//! one or both directions.
 
 use crate::sockets::{
     bind_datagram_socket, datagram_address, SocketError, GATEWAY_PEER_ADDRESS, STAND_IN_ADDRESS,
@@ -13,37 +14,38 @@
 use tokio::net::UdpSocket;
 use tokio::runtime::Handle;
 
-/// The platform's longest datagram between gateways, in bytes.
+/// Length of the longest datagram that the platform carries between gateways, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 256;
-/// Room for a datagram that is longer than the platform carries, so that it is seen to be.
+/// Size of the receive buffer, in bytes: larger than the longest datagram, so that one that is too long is detected and
+/// not truncated.
 const BUFFER_BYTES: usize = 1024;
 
-/// What a gateway has sent: a datagram counts once for each receiver.
+/// The traffic that a gateway has sent; a broadcast datagram counts once for each receiver.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Number of datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Total length of the datagrams, in bytes.
     pub bytes: u64,
 }
 
-/// What the relay does to datagrams, and what has gone through it.
+/// The faults that the relay injects, and the traffic that it has received.
 pub struct Network {
-    /// Share of datagrams dropped, 0 to 1.
+    /// Probability with which a datagram is dropped, 0 to 1.
     pub loss: f64,
-    /// Pairs (from, to) whose datagrams are dropped.
+    /// Pairs (sender, receiver) of gateways whose datagrams are dropped.
     pub cuts: BTreeSet<(usize, usize)>,
-    /// How long each datagram is held before it is passed on.
+    /// Time from the receipt of a datagram until the relay forwards it.
     pub delay: Duration,
-    /// What each gateway has sent.
+    /// By gateway: the traffic that it has sent, including datagrams that were dropped.
     pub sent: Vec<Traffic>,
-    /// Datagrams longer than the platform carries.
+    /// Number of datagrams that were longer than the platform carries; they are dropped.
     pub too_long: u64,
     rng: Rng,
 }
 
 impl Network {
-    /// Counts a datagram from one gateway to another, and decides whether it is dropped.
+    /// Counts a datagram from one gateway to another, and returns whether it is dropped.
     fn drops(&mut self, from: usize, to: usize, length: usize) -> bool {
         if let Some(sent) = self.sent.get_mut(from) {
             sent.datagrams += 1;
@@ -55,24 +57,24 @@
     }
 }
 
-/// The relay; its tasks end with the runtime that carries them.
+/// The relay; its tasks end with the runtime on which they run.
 pub struct Relay {
     /// Where each gateway listens.
     pub listen: Vec<SocketAddr>,
-    /// By gateway: the addresses at which it knows each gateway, its own included.
+    /// By gateway: the addresses at which it reaches each gateway, its own included.
     pub known: Vec<Vec<SocketAddr>>,
     /// By gateway: the address that reaches all others at once.
     pub broadcast: Vec<SocketAddr>,
     network: Arc<Mutex<Network>>,
 }
 
-/// The sockets of the relay.
+/// The sockets of the relay, and the addresses of the gateways.
 struct Sockets {
     /// Where each gateway listens.
     listen: Vec<SocketAddr>,
-    /// By sender and receiver.
+    /// By sender and receiver: the socket to which the sender sends its datagrams for the receiver.
     pairs: Vec<Vec<Arc<UdpSocket>>>,
-    /// By sender.
+    /// By sender: the socket to which it sends its datagrams for all others.
     broadcast: Vec<Arc<UdpSocket>>,
 }
 
@@ -84,7 +86,7 @@
             broadcast: Vec::new(),
         };
         for _ in 0..gateways {
-            // The gateway's own port, free again once this is dropped.
+            // Reserves a port for the gateway; it is free again once this socket is dropped.
             let own = bind_datagram_socket(GATEWAY_PEER_ADDRESS).await?;
             sockets.listen.push(datagram_address(&own)?);
             let mut receivers = Vec::new();
@@ -98,7 +100,7 @@
         Ok(sockets)
     }
 
-    /// The addresses at which gateway `sender` knows each gateway.
+    /// The addresses at which gateway `sender` reaches each gateway.
     fn known_to(&self, sender: usize) -> Result<Vec<SocketAddr>, SocketError> {
         let sockets = self.pairs[sender].iter().enumerate();
         sockets
@@ -112,7 +114,7 @@
             .collect()
     }
 
-    /// How what gateway `sender` sends reaches gateway `receiver`.
+    /// The target for datagrams from gateway `sender` to gateway `receiver`.
     fn target(&self, sender: usize, receiver: usize) -> Target {
         Target {
             gateway: receiver,
@@ -121,7 +123,7 @@
         }
     }
 
-    /// Starts a task for each socket at which gateway `sender` sends.
+    /// Starts a task for each socket to which gateway `sender` sends.
     fn spawn_carriers(&self, sender: usize, network: &Arc<Mutex<Network>>) {
         let carry = |socket: &Arc<UdpSocket>, targets: Vec<Target>| {
             let carrier = Carrier {
@@ -144,10 +146,10 @@
 }
 
 impl Relay {
-    /// Binds every socket and starts a task for each.
+    /// Binds all sockets and starts a task for each.
     ///
     /// # Errors
-    /// There are no sockets.
+    /// A socket cannot be bound.
     pub async fn start(gateways: usize, seed: u64) -> Result<Self, SocketError> {
         let network = Arc::new(Mutex::new(Network {
             loss: 0.0,
@@ -175,7 +177,7 @@
         })
     }
 
-    /// What is done to datagrams, to be changed.
+    /// Locks the injected faults and the traffic counts, to read or change them.
     pub fn network(&self) -> MutexGuard<'_, Network> {
         lock(&self.network)
     }
@@ -185,16 +187,16 @@
     network.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A gateway that a datagram is passed on to.
+/// A gateway to which datagrams are forwarded.
 struct Target {
     gateway: usize,
-    /// The socket at which it knows the sender.
+    /// The socket from which the gateway expects the sender's datagrams.
     socket: Arc<UdpSocket>,
-    /// Where it listens.
+    /// The address at which the gateway listens.
     address: SocketAddr,
 }
 
-/// Carries what a gateway sends at one socket to each target.
+/// Forwards the datagrams that a gateway sends to one socket to each target.
 struct Carrier {
     sender: usize,
     sender_address: SocketAddr,
@@ -208,11 +210,11 @@
         let mut buffer = [0; BUFFER_BYTES];
         loop {
             let Ok((length, source)) = self.socket.recv_from(&mut buffer).await else {
-                // A datagram to a gateway that does not run came back as an error.
+                // The operating system reports an earlier datagram to a gateway that does not run as an error here.
                 tokio::task::yield_now().await;
                 continue;
             };
-            // No other process may send in this gateway's name.
+            // Datagrams of any other process are ignored, because they would be taken for this gateway's.
             if source != self.sender_address {
                 continue;
             }
--- a/crates/testbed/src/cluster/schedule/fault.rs
+++ b/crates/testbed/src/cluster/schedule/fault.rs
@@ -1,76 +1,78 @@
-//! The faults of a schedule, and how they are drawn.
+//! The faults of a schedule and their random generation.
 
 use super::Pace;
 use irisrouter_simulation::rng::{Rng, Stream};
 use serde::Serialize;
 
-/// One fault, with how long it lasts in milliseconds. Its `Debug` form stands in the messages of a failed schedule.
+/// One fault; `ms` is its duration in milliseconds. Messages of a failed schedule print its `Debug` form.
 #[derive(Debug, Clone, PartialEq, Serialize)]
 #[serde(rename_all = "snake_case", tag = "fault")]
 pub enum Fault {
-    /// A gateway is killed (SIGKILL), and started again after that time.
+    /// A gateway is killed (SIGKILL) and later started again.
     Crash {
         /// The gateway.
         gateway: usize,
-        /// How long it is away.
+        /// Detection bound at the time of drawing. It is only printed: the gateway is started again when all others
+        /// have declared it down, or the bound has passed.
         ms: u64,
     },
-    /// A gateway is stopped (SIGSTOP) and continued (SIGCONT), within the time that must not count as death.
+    /// A gateway is stopped (SIGSTOP) and continued (SIGCONT) soon enough that it must not be declared down.
     Stall {
         /// The gateway.
         gateway: usize,
-        /// How long it stands still.
+        /// Duration of the stop, in milliseconds.
         ms: u64,
     },
-    /// Datagrams from one gateway to another are dropped.
+    /// Datagrams from one gateway to another are dropped, but not those in the other direction.
     OneWay {
         /// The sender.
         from: usize,
         /// The receiver.
         to: usize,
-        /// How long.
+        /// Duration of the fault, in milliseconds.
         ms: u64,
     },
     /// The fleet is split into two sides.
     Partition {
-        /// One side; the others are on the other.
+        /// The gateways of one side; all others are on the other side.
         left: Vec<usize>,
-        /// How long.
+        /// Detection bound at the time of drawing. It is only printed: the partition lasts until both sides have
+        /// declared each other down, or the bound has passed.
         ms: u64,
     },
     /// A share of all datagrams is dropped.
     Loss {
-        /// The share, in percent.
+        /// Probability with which a datagram is dropped, in percent.
         percent: u32,
-        /// How long.
+        /// Duration of the fault, in milliseconds.
         ms: u64,
     },
-    /// All datagrams are late.
+    /// All datagrams are delayed.
     Delay {
-        /// By how much, each way.
+        /// Delay of each datagram, in milliseconds.
         by_ms: u64,
-        /// How long.
+        /// Duration of the fault, in milliseconds.
         ms: u64,
     },
 }
 
-/// The kinds of faults that a schedule may hold.
+/// The kinds of faults that a schedule may contain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultKinds {
     /// Faults of every kind.
     All,
-    /// Crashes alone.
+    /// Only crashes.
     CrashesOnly,
 }
 
-/// How long a share of datagrams is lost, in milliseconds.
+/// Duration of a loss of datagrams, in milliseconds.
 const LOSS_MS: u64 = 8_000;
-/// How long datagrams are late, in milliseconds.
+/// Duration of a delay of datagrams, in milliseconds.
 const DELAY_MS: u64 = 4_000;
 /// Number of kinds of faults.
 const KINDS: usize = 6;
 
-/// Draws a sequence of `count` faults for a fleet of `gateways`.
+/// Draws a sequence of `count` faults for a fleet of `gateways` gateways.
 #[must_use]
 pub fn draw(gateways: usize, count: usize, pace: Pace, seed: u64, kinds: FaultKinds) -> Vec<Fault> {
     let mut rng = Rng::new(seed, Stream::Faults);
@@ -108,7 +110,8 @@
         .collect()
 }
 
-/// Draws a stall that is survived; its length is drawn before its gateway.
+/// Draws a stall short enough to be survived. Its duration is drawn before its gateway; another order would change the
+/// schedules of all seeds.
 fn draw_stall(rng: &mut Rng, gateways: usize, pace: Pace) -> Fault {
     let ms = rng.between(0.3, 0.8) * pace.stall_ms as f64;
     Fault::Stall {
--- a/crates/testbed/src/cluster/schedule/injection.rs
+++ b/crates/testbed/src/cluster/schedule/injection.rs
@@ -1,4 +1,4 @@
-//! Brings a fault about, checks what has to follow from it, and lifts it again.
+//! Injects a fault, checks that it has the required effects, and removes it.
 
 use super::{Fault, FaultError, Observation, Verdict};
 use crate::cluster::clock::as_ms;
@@ -6,25 +6,25 @@
 use crate::cluster::Cluster;
 use std::time::{Duration, Instant};
 
-/// Between two checks whether a fault is detected.
+/// Time between two checks whether a fault is detected.
 const DETECTION_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// How long a stalled gateway may go on before it is checked that nobody declared it down.
+/// Time from the end of a stall until the check that no gateway was declared down.
 const AFTER_STALL: Duration = Duration::from_millis(500);
-/// A gateway holds a set's lease if its health check was accepted within this time, in milliseconds.
+/// A gateway counts as a set's lease holder if its health check was accepted within this time, in milliseconds.
 const HOLDER_SEEN_WITHIN_MS: u64 = 1_000;
 
-/// A fault that has been injected, and what has to follow from it.
+/// An injected fault and its required effects.
 #[derive(Default)]
 struct Injected {
-    /// Who has to declare whom down.
+    /// The observers that must declare a gateway down.
     expected: Vec<Observation>,
-    /// Sets whose health checks a crashed gateway held.
+    /// Sets whose health checks the crashed gateway ran.
     orphaned_sets: Vec<u64>,
-    /// How long the fault lasts from now on.
+    /// Time from the end of the injection until the effects are checked.
     duration: Duration,
 }
 
-/// Injects a fault, waits until it is detected, checks who was declared down, and lifts it again.
+/// Injects a fault, waits until it is detected, checks which gateways were declared down, and removes the fault.
 pub(super) fn inject_and_check(
     cluster: &mut Cluster,
     fault: &Fault,
@@ -65,7 +65,7 @@
     Ok(())
 }
 
-/// Brings a fault about among the gateways that run.
+/// Injects a fault among the running gateways.
 fn inject(cluster: &mut Cluster, fault: &Fault, running: &[usize]) -> Injected {
     let mut injected = Injected::default();
     match fault {
@@ -109,7 +109,7 @@
     injected
 }
 
-/// The observations of two sides that can't hear each other.
+/// The observations that two sides must make if neither receives the other's datagrams.
 fn across(left: &[usize], right: &[usize]) -> Vec<Observation> {
     let mut observations = Vec::new();
     for &a in left {
@@ -122,21 +122,21 @@
     observations
 }
 
-/// Whether an observation has been made since `from`, in milliseconds since the start of the run.
+/// Returns whether the observer has declared the member down since `from`, in milliseconds since the start of the run.
 fn is_made(cluster: &Cluster, observation: Observation, from: u64) -> bool {
     let Observation { observer, member } = observation;
     let changes = cluster.changes(observer, member, "down");
     changes.iter().any(|&at| at >= from)
 }
 
-/// Those of the expected observations that have not been made since `from`.
+/// The expected observations that have not been made since `from`.
 fn undetected(cluster: &Cluster, expected: &[Observation], from: u64) -> Vec<Observation> {
     let mut missing = expected.to_vec();
     missing.retain(|&observation| !is_made(cluster, observation, from));
     missing
 }
 
-/// The observations among the running gateways that have been made since `from` and are not expected.
+/// The observations that have been made among the running gateways since `from` though they are not expected.
 fn wrongly_declared_down(
     cluster: &Cluster,
     running: &[usize],
@@ -155,7 +155,8 @@
         .collect()
 }
 
-/// For each set whose health checks the crashed gateway held: milliseconds until another one's was accepted.
+/// For each of the sets: the time from `from` until a host accepted a health check by another gateway than the crashed
+/// one, in milliseconds. A set without one is left out.
 fn takeover_times(cluster: &Cluster, sets: &[u64], crashed: usize, from: u64) -> Vec<u64> {
     let mut times = Vec::new();
     for &set in sets {
--- a/crates/testbed/src/cluster/schedule/mod.rs
+++ b/crates/testbed/src/cluster/schedule/mod.rs
@@ -1,12 +1,13 @@
-//! Sequences of faults drawn from a seed, run on a cluster, and checked: the same seed gives the same sequence, so that one
-//! that failed can be run again by itself (`irisrouter-testbed cluster --seed N`).
+//! Draws sequences of faults from a seed, runs them on a cluster, and checks the results. The same seed gives the same
+//! sequence, so that a failed one can be run again alone (`irisrouter-testbed cluster --seed N`).
 //!
-//! What has to hold, whatever the sequence:
+//! These rules must hold for every sequence:
 //!
-//! - no gateway that ran, could hear and was stalled for less than `stall_ms` is declared down by one that could hear it
-//!   (faults that are not meant to kill do not);
-//! - a crash is seen by all others, and the two sides of a cut see each other down, within the detection bound;
-//! - once a fault is over, all views are one within the bound for it.
+//! - only crashes and partitions cause a gateway to be declared down: a stall shorter than `stall_ms`, a one-way cut,
+//!   and loss or delay of datagrams do not;
+//! - within the detection bound, all others declare a crashed gateway down, and the two sides of a partition declare
+//!   each other down;
+//! - after a fault ends, all views agree within the healing bound.
 
 mod fault;
 mod injection;
@@ -25,63 +26,63 @@
 use serde::Serialize;
 use std::time::{Duration, Instant};
 
-/// Added to each bound of the members by themselves, as the processes share a machine.
+/// Added to each bound of the membership protocol, in milliseconds, because the processes share a machine.
 const SLACK_MS: u64 = 1_000;
-/// A set has a holder while its last health check is not older than this, in milliseconds.
+/// A set counts as having a lease holder if a health check was accepted within this time, in milliseconds.
 const HOLDER_SEEN_WITHIN_MS: u64 = 500;
-/// Between two checks whether every set has a holder.
+/// Time between two checks whether every set has a lease holder.
 const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What a run of one schedule came to.
+/// The result of running one schedule.
 #[derive(Debug, Default, Serialize)]
 pub struct Verdict {
-    /// Its seed.
+    /// Seed of the schedule.
     pub seed: u64,
     /// The faults, in order.
     pub faults: Vec<Fault>,
-    /// The rules that did not hold.
+    /// The rules that were violated.
     #[serde(rename = "broken")]
     pub violations: Vec<ScheduleViolation>,
-    /// From each crash or cut until it was detected by all that had to detect it, in milliseconds.
+    /// Time from each crash or partition until all required gateways had detected it, in milliseconds.
     #[serde(rename = "seen_ms")]
     pub detection_ms: Vec<u64>,
-    /// From the end of each fault until all views were one, in milliseconds.
+    /// Time from the end of each fault until all views agreed, in milliseconds.
     #[serde(rename = "healed_ms")]
     pub healing_ms: Vec<u64>,
-    /// From each kill of a lease's holder until a host accepted a health check of another, in milliseconds.
+    /// Time from each crash of a lease holder until a host accepted a health check by another gateway, in milliseconds.
     pub takeover_ms: Vec<u64>,
-    /// Number of health checks that hosts refused for an outdated token.
+    /// Number of health checks that hosts refused because of an outdated fencing token.
     #[serde(rename = "fenced")]
     pub fenced_health_checks: usize,
-    /// Datagrams a gateway a second over the run.
+    /// Mean number of datagrams sent per gateway and second over the run.
     #[serde(rename = "datagrams_s")]
     pub datagrams_per_s: f64,
-    /// Bytes of datagrams a gateway a second over the run.
+    /// Mean number of bytes sent in datagrams per gateway and second over the run.
     #[serde(rename = "bytes_s")]
     pub bytes_per_s: f64,
 }
 
-/// How fast membership runs in schedules.
+/// The timing of membership and leases in schedules.
 #[derive(Debug, Clone, Copy)]
 pub struct Pace {
-    /// Each gateway sends one ping in this time, in milliseconds.
+    /// Time between two pings of a gateway, in milliseconds.
     pub ping_period_ms: u64,
-    /// Stalls up to this length are survived, in milliseconds.
+    /// Longest stall after which a gateway must not be declared down, in milliseconds.
     pub stall_ms: u64,
-    /// The length of a lease in milliseconds, where leases are on.
+    /// Duration of a lease in milliseconds; `None` if leases are off.
     pub lease_ms: Option<u64>,
 }
 
 impl Pace {
-    /// Five pings a second: a schedule of a few faults takes under a minute, and a machine with four cores that runs
-    /// seven gateways beside other tests still keeps its round trips.
+    /// Five pings per second: a schedule of a few faults takes less than a minute, and the pings of seven gateways on a
+    /// machine with four cores are still answered in time while other tests run.
     pub const FAST: Pace = Pace {
         ping_period_ms: 200,
         stall_ms: 3_000,
         lease_ms: None,
     };
 
-    /// The operators' file for it.
+    /// The content of the operators' file with this timing.
     #[must_use]
     pub fn operators(&self) -> String {
         let takeover = self.lease_ms.map_or(String::new(), |lease_ms| {
@@ -95,7 +96,7 @@
         )
     }
 
-    /// The membership core's settings for it.
+    /// The settings of the membership core with this timing.
     #[must_use]
     pub fn settings(&self, gateways: usize) -> Settings {
         Settings::with_protocol_period(
@@ -106,12 +107,12 @@
     }
 }
 
-/// How long a schedule waits for what has to follow from a fault.
+/// Longest times that a schedule waits for the required effects of a fault.
 #[derive(Debug, Clone, Copy)]
 struct Bounds {
-    /// From a fault until it is detected.
+    /// Time from a fault until it is detected.
     detection: Duration,
-    /// From the end of a fault until all views are one.
+    /// Time from the end of a fault until all views agree.
     healing: Duration,
 }
 
@@ -124,10 +125,10 @@
     }
 }
 
-/// Runs a sequence of faults on a cluster of its own.
+/// Starts a cluster for this run alone and runs a sequence of faults on it.
 ///
 /// # Errors
-/// The cluster can't be started; what did not hold is in the verdict.
+/// The cluster cannot be started. A violated rule is not an error: it is in the verdict.
 pub fn run(plan: Plan, pace: Pace, faults: Vec<Fault>) -> Result<Verdict, ClusterError> {
     let (gateways, seed) = (plan.gateways, plan.seed);
     let bounds = Bounds::of(&pace.settings(gateways));
@@ -159,7 +160,8 @@
     Ok(verdict)
 }
 
-/// Waits until every set has a holder of its lease; where one never has, the check of the leases reports it.
+/// Waits until every set has a lease holder, or [`PATIENCE`] has passed since the start of the run. A set without a
+/// holder is reported later, by the check of the leases.
 fn wait_for_lease_holders(cluster: &Cluster) {
     while !cluster.every_set_has_holder(HOLDER_SEEN_WITHIN_MS)
         && cluster.clock.now() < as_ms(PATIENCE)
@@ -168,7 +170,7 @@
     }
 }
 
-/// Runs one fault, and waits until all views are one again.
+/// Injects and checks one fault, and waits until all views agree again.
 fn run_fault(
     cluster: &mut Cluster,
     index: usize,
--- a/crates/testbed/src/cluster/schedule/summary.rs
+++ b/crates/testbed/src/cluster/schedule/summary.rs
@@ -1,4 +1,4 @@
-//! What the runs of schedules came to, as text.
+//! Formats the results of the runs of schedules as text.
 
 use super::Verdict;
 
@@ -15,7 +15,7 @@
         Durations(sorted)
     }
 
-    /// The quantile `q`, 0 to 1, in seconds; a dash where there is none.
+    /// Formats the quantile `q`, 0 to 1, in seconds; a dash if there are no durations.
     fn quantile(&self, q: f64) -> String {
         let last = self.0.len().saturating_sub(1) as f64;
         self.0
@@ -30,7 +30,7 @@
     }
 }
 
-/// The summary of runs of schedules, with what did not hold in each.
+/// Formats the summary of runs of schedules, with the violated rules of each.
 #[must_use]
 pub fn text(verdicts: &[Verdict]) -> String {
     let detection = Durations::of(verdicts, |verdict| &verdict.detection_ms);
--- a/crates/testbed/src/cluster/schedule/violation.rs
+++ b/crates/testbed/src/cluster/schedule/violation.rs
@@ -1,4 +1,4 @@
-//! What did not hold in the run of a schedule.
+//! The rules that can be violated in the run of a schedule.
 
 use super::Fault;
 use crate::cluster::leases::LeaseViolation;
@@ -7,16 +7,16 @@
 use std::fmt;
 use std::time::Duration;
 
-/// An observer that declares a gateway down, both by their numbers.
+/// The observation by one gateway that another one is down.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub struct Observation {
-    /// The gateway that declares.
+    /// The gateway that declares the other one down.
     pub observer: usize,
     /// The gateway that is declared down.
     pub member: usize,
 }
 
-/// Written as a pair, as the messages of a failed schedule have it.
+/// Prints the pair `(observer, member)`, which keeps the messages of a failed schedule short.
 impl fmt::Debug for Observation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_tuple("")
@@ -26,45 +26,45 @@
     }
 }
 
-/// Why a fault did not have the effect that it must have.
+/// Why a fault did not have its required effects.
 #[derive(Debug, thiserror::Error)]
 pub enum FaultError {
     /// A crashed gateway did not start again.
     #[error(transparent)]
     Launch(#[from] ClusterError),
-    /// Some gateways were not declared down within the bound.
+    /// Not all expected observations were made within the bound.
     #[error("not seen down in {bound:?}, as (observer, gateway): {missing:?}")]
     Undetected {
         /// The bound.
         bound: Duration,
-        /// The observations that are missing.
+        /// The expected observations that were not made.
         missing: Vec<Observation>,
     },
-    /// Some gateways were declared down though the observer could hear them.
+    /// A gateway was declared down by an observer that still received its datagrams.
     #[error("declared down though alive and heard, as (observer, gateway): {wrong:?}")]
     FalselyDeclaredDown {
-        /// The wrong observations.
+        /// The observations that must not have been made.
         wrong: Vec<Observation>,
     },
 }
 
-/// A rule that did not hold in the run of a schedule. It is serialized as its text.
+/// A rule that was violated in the run of a schedule. It is serialized as its `Display` text.
 #[derive(Debug, thiserror::Error)]
 pub enum ScheduleViolation {
-    /// The gateways' views of one another did not become one before the first fault.
+    /// The gateways' views of one another did not agree in time before the first fault.
     #[error("the fleet did not come to see itself whole")]
     NotSettled,
-    /// A fault did not have the effect that it must have.
+    /// A fault did not have its required effects.
     #[error("fault {index}, {fault:?}: {source}")]
     Fault {
         /// The number of the fault, counted from 0.
         index: usize,
         /// The fault.
         fault: Fault,
-        /// What was wrong.
+        /// The effect that was missing or wrong.
         source: FaultError,
     },
-    /// The views did not become one within the bound after a fault.
+    /// The views did not agree within the healing bound after a fault.
     #[error("after fault {index}, {fault:?}: no one view: {views:?}")]
     ViewsDiffer {
         /// The number of the fault, counted from 0.
@@ -77,7 +77,7 @@
     /// A rule of the leases did not hold.
     #[error("{0}")]
     Lease(LeaseViolation),
-    /// A gateway sent a datagram that the platform would not carry.
+    /// A gateway sent a datagram that is longer than the platform carries.
     #[error("a datagram was longer than the platform carries")]
     DatagramTooLong,
 }
--- a/crates/testbed/src/cluster/site_loss.rs
+++ b/crates/testbed/src/cluster/site_loss.rs
@@ -1,8 +1,9 @@
-//! The loss and the return of a site, measured on real gateways and hosts with limited capacity: the same run without and
-//! with failover plans, over many seeds.
+//! Measures the loss and the return of a site with real gateways and stand-in hosts of limited capacity: the same run
+//! without and with failover plans, over many seeds.
 //!
-//! Three zones, three gateways, three sets of a primary and a replica. Zone `a` falls silent for a while and comes back
-//! cold: its hosts start with 0.15 of their capacity, which grows to the whole within ten seconds.
+//! There are three zones, three gateways, and three sets of a primary and a replica. The hosts of zone `a` are cut off
+//! for some seconds and return in slow start: with 0.15 of their capacity, which grows to the full capacity within ten
+//! seconds.
 
 use super::clock::as_ms;
 use super::load::{Load, LoadProfile, StopOnDrop, PAGE_READ, REPORT};
@@ -16,68 +17,71 @@
 
 const GATEWAYS: usize = 3;
 const SETS: u64 = 3;
-/// The zone that is lost.
+/// The zone whose hosts are cut off.
 const LOST_ZONE: &str = "a";
 
-/// The capacity of a warm host, in requests a second.
+/// Full capacity of a host, in requests per second.
 const CAPACITY_PER_S: f64 = 60.0;
-/// The share of it that a cold host starts with.
+/// Share of its full capacity with which a host starts after its return.
 const COLD_SHARE: f64 = 0.15;
-/// How long a cold host takes to have its whole capacity.
+/// Time from the return of a host until it has its full capacity.
 const WARM_UP: Duration = Duration::from_secs(10);
 
-/// How long the run lasts before the loss, during it, and after the return, in milliseconds.
+/// Durations of the parts of the run before the loss, from the loss to the return, and after the return, in
+/// milliseconds.
 const BEFORE_MS: u64 = 8_000;
 const LOSS_MS: u64 = 6_000;
 const AFTER_MS: u64 = 16_000;
 
-/// Service before the loss is measured over this time, in milliseconds.
+/// Length of the period before the loss over which the baseline is measured, in milliseconds.
 const BASELINE_MS: u64 = 3_000;
-/// Service during the loss is measured from this time after its start on, in milliseconds.
+/// Time from the loss until the measurement of service during the loss starts, in milliseconds, because the gateways
+/// need time to react.
 const REACTION_MS: u64 = 2_000;
-/// Service has recovered when this part of the share that was served before is served over a window.
+/// Service has recovered when the share of requests served in a window is at least this part of the baseline share.
 const RECOVERED: f64 = 0.95;
-/// The length of that window, and its steps, in milliseconds.
+/// Length of that window and the step by which it moves, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 const WINDOW_STEP_MS: usize = 100;
 
-/// A set has a holder while its last health check is not older than this, in milliseconds.
+/// A set counts as having a lease holder if a health check was accepted within this time, in milliseconds.
 const HOLDER_SEEN_WITHIN_MS: u64 = 300;
-/// Between two checks whether every set has a holder.
+/// Time between two checks whether every set has a lease holder.
 const HOLDER_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Whether gateways follow failover plans.
+/// Whether failover plans are enabled at the gateways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FailoverPlans {
-    /// They don't.
+    /// Gateways make and follow no plans.
     Off,
-    /// They do.
+    /// Gateways make and follow plans.
     On,
 }
 
-/// What one run came to.
+/// The measurements of one run.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct SiteLossResults {
-    /// Requests a second that were served before the loss.
+    /// Requests served per second before the loss.
     #[serde(rename = "before_per_s")]
     pub served_per_s_before: f64,
-    /// Requests served from 2 s after the loss until the return, as a share of what the remaining hosts can serve.
+    /// Requests served from 2 s after the loss until the return, as a share of the capacity of the remaining hosts.
     #[serde(rename = "of_capacity_left")]
     pub share_of_remaining_capacity: f64,
-    /// The share of reports sent then that was served; reports are worth more than page reads.
+    /// Share of the reports that was served in that period; the value of a report is higher than that of a page read.
     pub reports_served: f64,
-    /// The share of page reads sent then that was served.
+    /// Share of the page reads that was served in that period.
     pub pages_served: f64,
-    /// From the return until as large a share of requests is served as before, in seconds; the time until the end of the
-    /// run where it never was.
+    /// Time from the return until service has recovered to 95 % of the share served before the loss, in seconds; if it
+    /// does not, the time from the return until the end of the run.
     #[serde(rename = "full_after_s")]
     pub recovery_s: f64,
-    /// The most statements that a returning host was sent in any second, as a share of its capacity then.
+    /// Maximum over all seconds after the return and all returning hosts of the number of statements that the host was
+    /// sent, as a share of its capacity in that second.
     #[serde(rename = "peak")]
     pub peak_load: f64,
 }
 
-/// When the site was lost and came back, in milliseconds since the start of the run.
+/// The times at which the site was lost and returned, in milliseconds since the start of the run.
 #[derive(Debug, Clone, Copy)]
 struct Outage {
     lost_at: u64,
@@ -87,7 +91,7 @@
 /// Runs the loss and the return of a site once.
 ///
 /// # Errors
-/// The cluster can't be started, or its gateways don't come to hold their leases.
+/// The cluster cannot be started, its gateways' views do not agree in time, or a lease is not acquired in time.
 pub fn run(
     seed: u64,
     program: PathBuf,
@@ -107,7 +111,7 @@
     Ok(measure(&cluster, &load, outage))
 }
 
-/// Starts the cluster, and waits until every set has a holder of its lease.
+/// Starts the cluster and waits until the gateways' views agree and every set has a lease holder.
 fn start_cluster(
     seed: u64,
     program: PathBuf,
@@ -157,7 +161,7 @@
     hosts.filter(|host| host.zone == LOST_ZONE).collect()
 }
 
-/// Runs the clients, cuts the lost zone's hosts off from all gateways, and lets them come back cold.
+/// Runs the clients, cuts the lost zone's hosts off from all gateways, and reconnects them in slow start.
 fn run_outage(cluster: &Cluster, load: &Load) -> Outage {
     let gateways: Vec<usize> = (0..GATEWAYS).collect();
     let lost = lost_hosts(cluster);
@@ -221,8 +225,8 @@
     }
 }
 
-/// The most statements that a host was sent in a second from its return on, as a share of its capacity in the middle of
-/// that second.
+/// Maximum number of statements that a host was sent in any second after its return, as a share of its capacity in the
+/// middle of that second.
 fn peak_load(host: &Host, back_at: u64) -> f64 {
     let seen = host.seen();
     let times: Vec<u64> = seen
@@ -242,7 +246,7 @@
         .fold(0.0, f64::max)
 }
 
-/// Means with their 95 % intervals, without and with failover plans.
+/// Formats the means and their 95 % confidence intervals, without and with failover plans.
 #[must_use]
 pub fn text(off: &[SiteLossResults], on: &[SiteLossResults]) -> String {
     let line = |name: &str, value: fn(&SiteLossResults) -> f64| {
--- a/crates/testbed/src/cluster/stand_ins/checking_gateway.rs
+++ b/crates/testbed/src/cluster/stand_ins/checking_gateway.rs
@@ -1,4 +1,5 @@
-//! A gateway, played by the testbed, that checks the hosts of all sets and sends the results to the others.
+//! A stand-in for the gateway that checks the hosts of all sets: it sends made-up results of health checks to the
+//! others.
 
 use super::listed_sets::ListedHost;
 use crate::sockets::{bind_datagram_socket, datagram_address, SocketError, STAND_IN_ADDRESS};
@@ -11,16 +12,16 @@
 use tokio::net::UdpSocket;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Time between two rounds of health checks of a set, as gateways run them.
+/// Time between two rounds of health checks of a set, the same as that of real gateways.
 const ROUND_PERIOD: Duration = Duration::from_millis(200);
-/// How far a host's position is behind the time of its health check.
+/// Reported position of a host: this much before the time of its health check.
 const REPLICATION_LAG: Nanoseconds = Nanoseconds::from_millis(5);
-/// The share of its cores that a host uses.
+/// Reported share of its cores that a host uses, 0 to 1.
 const CORES_IN_USE: f64 = 0.3;
 
-/// The gateway, as the rest of the testbed sees it.
+/// The handle by which the testbed controls the stand-in.
 pub struct CheckingGateway {
-    /// The address from which it sends.
+    /// The address from which results are sent.
     pub(in crate::cluster) address: SocketAddr,
     is_held: Arc<AtomicBool>,
 }
@@ -31,15 +32,15 @@
     sets: Vec<Vec<ListedHost>>,
     receivers: Vec<SocketAddr>,
     is_held: Arc<AtomicBool>,
-    /// Datagrams that are held back.
+    /// Datagrams that have not been sent yet.
     held: Vec<Vec<u8>>,
 }
 
 impl CheckingGateway {
-    /// Starts to send the results of these sets.
+    /// Starts a task that sends the results of these sets to the receivers.
     ///
     /// # Errors
-    /// There are no sockets.
+    /// The socket cannot be bound.
     pub(super) async fn start(
         sets: Vec<Vec<ListedHost>>,
         receivers: Vec<SocketAddr>,
@@ -58,14 +59,14 @@
         Ok(CheckingGateway { address, is_held })
     }
 
-    /// Holds its datagrams back from now on, or sends them all at once.
+    /// Holds datagrams back from now on, or releases them: all held datagrams are then sent in one burst.
     pub fn hold(&self, held: bool) {
         self.is_held.store(held, Ordering::Relaxed);
     }
 }
 
 impl Sender {
-    /// Sends the results of one set after the other, for ever.
+    /// Sends the results of one set after the other, in an endless cycle.
     async fn run(mut self) {
         let mut ticks = interval(ROUND_PERIOD / self.sets.len().max(1) as u32);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Burst);
@@ -81,14 +82,14 @@
     async fn send_held(&mut self) {
         for datagram in std::mem::take(&mut self.held) {
             for receiver in &self.receivers {
-                // A gateway that has ended refuses datagrams.
+                // Sending to a gateway that has ended may fail.
                 let _ = self.socket.send_to(&datagram, receiver).await;
             }
         }
     }
 }
 
-/// The results of a round of one set, as they are sent.
+/// Encodes the results of a round of health checks of one set as a datagram.
 fn results(hosts: &[ListedHost]) -> Vec<u8> {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     let checked_at = UnixNanoseconds::from_millis(since.unwrap_or_default().as_millis() as i64);
--- a/crates/testbed/src/cluster/stand_ins/discovery.rs
+++ b/crates/testbed/src/cluster/stand_ins/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the discovery service: one list, which each gateway reaches at an address of its own, with the hosts'
-//! addresses as that gateway sees them.
+//! A stand-in for the discovery service. It serves one list of hosts. Each gateway has its own address for the service
+//! and gets the host addresses that are meant for this gateway.
 
 use super::lock;
 use crate::cluster::Clock;
@@ -17,31 +17,31 @@
 /// The stand-in of the discovery service.
 #[derive(Clone)]
 pub struct Discovery {
-    /// Its addresses, one for each gateway.
+    /// The addresses of the service, one for each gateway.
     pub addresses: Vec<SocketAddr>,
     service: Arc<Service>,
 }
 
-/// A call that discovery was sent.
+/// A call that the service received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Call {
-    /// When, in milliseconds since the start of the run.
+    /// Time of the call, in milliseconds since the start of the run.
     pub at_ms: u64,
     /// The gateway that sent it.
     pub gateway: usize,
-    /// Whether it is a long poll, which waits for the next version.
+    /// Whether it is a long poll, which waits for the next revision of the list.
     pub long_poll: bool,
 }
 
-/// A version of the list.
+/// The state of the list at a revision.
 #[derive(Clone)]
 struct List {
     revision: u64,
-    /// By host: its last change, where there was one.
+    /// By host id: the last change of its phase; hosts without a change are missing.
     changes: BTreeMap<String, PhaseChange>,
 }
 
-/// The change of a host's phase.
+/// A change of a host's phase.
 #[derive(Clone)]
 struct PhaseChange {
     revision: u64,
@@ -50,23 +50,23 @@
 
 struct Service {
     clock: Clock,
-    /// By gateway: the hosts as it sees them.
+    /// By gateway: the list entries of the hosts, with the addresses for this gateway.
     entries: Vec<Vec<Value>>,
     list: watch::Sender<List>,
     calls: Mutex<Vec<Call>>,
     /// By gateway: the number of its open long polls.
     open_long_polls: Mutex<BTreeMap<usize, usize>>,
-    /// By gateway: the bytes of the lists that it was sent.
+    /// By gateway: the total length of the lists that it was sent, in bytes.
     list_bytes: Mutex<BTreeMap<usize, u64>>,
-    /// Gateways that are answered 503.
+    /// Gateways whose calls are answered with status 503.
     refused: Mutex<BTreeSet<usize>>,
 }
 
 impl Discovery {
-    /// Starts it, with what each gateway sees of each host.
+    /// Starts the service; `entries` has the list entries of the hosts for each gateway.
     ///
     /// # Errors
-    /// There are no sockets.
+    /// A socket cannot be bound.
     pub async fn start(entries: Vec<Vec<Value>>, clock: Clock) -> Result<Self, SocketError> {
         let gateways = entries.len();
         let service = Arc::new(Service {
@@ -96,20 +96,20 @@
         Ok(Discovery { addresses, service })
     }
 
-    /// The hosts as a gateway saw them at the start.
+    /// The list entries of the hosts for a gateway at revision 1, before any change.
     #[must_use]
     pub fn first_entries(&self, gateway: usize) -> &[Value] {
         &self.service.entries[gateway]
     }
 
-    /// The bytes of the lists that a gateway was sent.
+    /// The total length of the lists that a gateway was sent, in bytes.
     #[must_use]
     pub fn list_bytes(&self, gateway: usize) -> u64 {
         let sent = lock(&self.service.list_bytes);
         sent.get(&gateway).copied().unwrap_or_default()
     }
 
-    /// Puts a host into a phase, in the next version of the list.
+    /// Changes the phase of a host, which makes a new revision of the list.
     pub fn set_phase(&self, host_id: &str, phase: &str) {
         self.service.list.send_modify(|list| {
             list.revision += 1;
@@ -121,17 +121,17 @@
         });
     }
 
-    /// Answers a gateway 503 from now on.
+    /// Answers a gateway's calls with status 503 from now on.
     pub fn refuse(&self, gateway: usize) {
         lock(&self.service.refused).insert(gateway);
     }
 
-    /// Answers a gateway with the list again.
+    /// Answers a gateway's calls with the list again.
     pub fn stop_refusing(&self, gateway: usize) {
         lock(&self.service.refused).remove(&gateway);
     }
 
-    /// The calls so far.
+    /// All calls that the service has received so far.
     #[must_use]
     pub fn calls(&self) -> Vec<Call> {
         lock(&self.service.calls).clone()
@@ -149,7 +149,7 @@
 }
 
 impl Service {
-    /// Serves a connection of a gateway until it ends.
+    /// Serves a connection of a gateway; returns `None` when it ends.
     async fn serve(self: &Arc<Self>, stream: TcpStream, gateway: usize) -> Option<()> {
         let mut stream = BufReader::new(stream);
         loop {
@@ -167,7 +167,7 @@
             if let (Some(from), true) = (request.from, request.is_long_poll()) {
                 self.hold(gateway, from, request.hold, &mut stream).await?;
             }
-            // A long list takes a while, and the hosts run on this thread.
+            // Building a long list takes a while, and would block the stand-in hosts, which run on this thread.
             let service = Arc::clone(self);
             let body = spawn_blocking(move || service.body(gateway, request.from));
             let body = body.await.ok()?;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// The list as a gateway sees it, or the changes since a revision.
+    /// The response body for a gateway: the whole list, or only the hosts changed after revision `from`.
     fn body(&self, gateway: usize, from: Option<u64>) -> String {
         let list = self.list.borrow().clone();
         let changed = |id: &str| list.changes.get(id);
@@ -197,7 +197,7 @@
             .to_string()
     }
 
-    /// Waits for a version after revision `from`, for `hold` at most; none where the caller leaves first.
+    /// Waits for a revision after `from`, for at most the duration `hold`; `None` if the caller disconnects first.
     async fn hold(
         &self,
         gateway: usize,
@@ -217,16 +217,16 @@
     }
 }
 
-/// What a call asks for.
+/// The parameters of a call.
 struct Request {
-    /// The revision that the caller has.
+    /// The revision that the caller has; `None` if it requests the whole list.
     from: Option<u64>,
-    /// How long it waits for a later one.
+    /// Longest time to wait for a later revision; zero if the call is no long poll.
     hold: Duration,
 }
 
 impl Request {
-    /// Reads the head of a call; none where the connection ends.
+    /// Reads the head of an HTTP request; `None` if the connection ends.
     async fn read(stream: &mut BufReader<TcpStream>) -> Option<Self> {
         let request_line = read_line(stream).await?;
         while !read_line(stream).await?.trim().is_empty() {}
@@ -247,7 +247,7 @@
     }
 }
 
-/// Reads a line with its end; none at the end of the connection.
+/// Reads a line, including its line break; `None` at the end of the connection.
 async fn read_line(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut line = String::new();
     let length = stream.read_line(&mut line).await.ok()?;
--- a/crates/testbed/src/cluster/stand_ins/host.rs
+++ b/crates/testbed/src/cluster/stand_ins/host.rs
@@ -1,6 +1,7 @@
-//! A stand-in database host: it answers health checks, reads and writes, discards a repeated key within the window,
-//! refuses an old fencing token, and records what it was sent and what it applied. Links between a gateway and a host can
-//! be cut: what is under way stands still, as when a machine is cut off.
+//! A stand-in database host. It answers health checks, reads and writes, discards a write whose key was applied within
+//! the deduplication window, refuses outdated fencing tokens, and records what it received and applied. The link
+//! between a gateway and a host can be cut: connections stay open, but statements and answers on them are delayed
+//! until the link is restored, as if the machine were cut off.
 
 use super::host_connection::serve;
 use super::lock;
@@ -15,37 +16,38 @@
 use tokio::net::TcpListener;
 use tokio::sync::Notify;
 
-/// Between two attempts to accept a connection, where one has failed.
+/// Time from a failure to accept a connection until the next attempt.
 const ACCEPT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A health check that a host was sent.
+/// A health check that a host received.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Probe {
-    /// When, in milliseconds since the start of the run.
+    /// Time at which it was answered, in milliseconds since the start of the run.
     pub at: u64,
     /// The gateway that sent it.
     pub gateway: usize,
-    /// The task and the fencing token that it carried.
+    /// The task and the epoch of the fencing token that it carried, if any.
     pub token: Option<(u64, u64)>,
-    /// Whether it was refused, as a later token of that task had been seen.
+    /// Whether it was refused because the host had seen a later token of that task.
     pub refused: bool,
 }
 
-/// What a host has been sent.
+/// The record of what a host has received and applied.
 #[derive(Default)]
 pub struct Seen {
-    /// By key: the time of each application, in milliseconds since the start of the run.
+    /// By key of a write: the times at which it was applied, in milliseconds since the start of the run.
     pub applied: BTreeMap<String, Vec<u64>>,
-    /// Statements taken: when, in milliseconds since the start of the run, by which gateway, and the text.
+    /// Statements other than health checks: time of arrival in milliseconds since the start of the run, the gateway,
+    /// and the text.
     pub statements: Vec<(u64, usize, String)>,
-    /// Health checks.
+    /// Health checks, in the order in which they were answered.
     pub probes: Vec<Probe>,
-    /// By task: the latest fencing token.
+    /// By task: the latest epoch that was seen in a fencing token.
     latest_tokens: BTreeMap<u64, u64>,
 }
 
 impl Seen {
-    /// Takes a fencing token of a task: whether it is older than one that was seen before.
+    /// Records a fencing token of a task, and returns whether it is older than one that was seen before.
     pub(super) fn is_outdated(&mut self, task: u64, epoch: u64) -> bool {
         let latest = self.latest_tokens.entry(task).or_insert(epoch);
         *latest = epoch.max(*latest);
@@ -53,18 +55,18 @@
     }
 }
 
-/// What a host is.
+/// The properties of a stand-in host.
 #[derive(Debug, Clone)]
 pub struct HostSpec {
     /// Its id in the list.
     pub id: String,
-    /// Its set.
+    /// The set to which it belongs.
     pub set: u64,
-    /// Its zone.
+    /// The zone in which it stands.
     pub zone: String,
-    /// Whether it takes writes.
+    /// Whether it is the primary of its set, which accepts writes.
     pub primary: bool,
-    /// A repeat of a key is discarded within this time of its last application.
+    /// A write is discarded if its key was applied within this time before it.
     pub deduplication_window: Duration,
 }
 
@@ -72,39 +74,39 @@
 pub struct Host {
     /// Its id in the list.
     pub id: String,
-    /// Its set.
+    /// The set to which it belongs.
     pub set: u64,
-    /// Its zone.
+    /// The zone in which it stands.
     pub zone: String,
-    /// Whether it takes writes.
+    /// Whether it is the primary of its set, which accepts writes.
     pub primary: bool,
-    /// Its addresses, one for each gateway.
+    /// The addresses at which it listens, one for each gateway.
     pub addresses: Vec<SocketAddr>,
     shared: Arc<SharedHost>,
 }
 
-/// What a host shares with its connections.
+/// The state that a host shares with the tasks of its connections.
 pub(super) struct SharedHost {
     pub(super) clock: Clock,
     pub(super) primary: bool,
-    /// In milliseconds.
+    /// A write is discarded if its key was applied within this time before it, in milliseconds.
     pub(super) deduplication_window: u64,
     pub(super) seen: Mutex<Seen>,
-    /// Gateways cut off from this host.
+    /// Gateways whose link to this host is cut.
     pub(super) cut_off: Mutex<BTreeSet<usize>>,
-    /// How much it can do, where that is limited.
+    /// The capacity; `None` if it is not limited.
     pub(super) capacity: Mutex<Option<Capacity>>,
     pub(super) write_delays: Mutex<WriteDelays>,
     /// Notified to reset the connections that are open.
     pub(super) resets: Notify,
 }
 
-/// How long writes take.
+/// Delays of the writes at a host.
 #[derive(Clone, Copy, Default)]
 pub(super) struct WriteDelays {
-    /// From the statement until it is applied.
+    /// Time from the receipt of a write until it is applied.
     pub(super) before_apply: Duration,
-    /// From then until the answer.
+    /// Time from the application of a write until its answer.
     pub(super) before_answer: Duration,
 }
 
@@ -112,22 +114,22 @@
 #[derive(Clone, Copy)]
 pub(super) struct Capacity {
     per_s: f64,
-    /// When it is through with what it has.
+    /// Time at which all requests that are queued will be finished.
     free_at: Instant,
     warm_up: Option<WarmUp>,
 }
 
-/// The time after a cold start, in which a host's capacity grows linearly to its whole.
+/// Slow start: the period after a restart in which a host's capacity grows linearly to its full capacity.
 #[derive(Clone, Copy)]
 struct WarmUp {
     started: Instant,
-    /// The share of its capacity at the start, 0 to 1.
+    /// Share of its full capacity at the start of the period, 0 to 1.
     initial_share: f64,
     duration: Duration,
 }
 
 impl WarmUp {
-    /// The share of the whole capacity at `now`, 0 to 1.
+    /// The share of its full capacity that the host has at `now`, 0 to 1.
     fn share(&self, now: Instant) -> f64 {
         let elapsed = (now - self.started).as_secs_f64() / self.duration.as_secs_f64();
         self.initial_share + (1.0 - self.initial_share) * elapsed.min(1.0)
@@ -135,7 +137,7 @@
 }
 
 impl Capacity {
-    /// Takes one more request: how long until it is done.
+    /// Adds a request to the queue, and returns the time until it is finished.
     pub(super) fn enqueue(&mut self, now: Instant) -> Duration {
         let share = self.warm_up.map_or(1.0, |warm_up| warm_up.share(now));
         let service_time = Duration::from_secs_f64(1.0 / (self.per_s * share));
@@ -145,10 +147,10 @@
 }
 
 impl Host {
-    /// Starts a host that each of `gateways` gateways reaches at an address of its own.
+    /// Starts a host that listens at a separate address for each of `gateways` gateways.
     ///
     /// # Errors
-    /// There are no sockets.
+    /// A socket cannot be bound.
     pub async fn start(spec: HostSpec, gateways: usize, clock: Clock) -> Result<Self, SocketError> {
         let shared = Arc::new(SharedHost {
             clock,
@@ -176,12 +178,12 @@
         })
     }
 
-    /// What it has been sent.
+    /// Locks the record of what the host has received and applied.
     pub fn seen(&self) -> MutexGuard<'_, Seen> {
         lock(&self.shared.seen)
     }
 
-    /// Cuts a gateway off from it, or joins it again.
+    /// Cuts the link between a gateway and the host, or restores it if `cut` is `false`.
     pub fn cut(&self, gateway: usize, cut: bool) {
         let mut cut_off = lock(&self.shared.cut_off);
         if cut {
@@ -191,7 +193,7 @@
         }
     }
 
-    /// Sets how long writes take before they are applied, and their answers after that.
+    /// Sets the delay before a write is applied, and the delay from then until its answer.
     pub fn pace(&self, before_apply: Duration, before_answer: Duration) {
         *lock(&self.shared.write_delays) = WriteDelays {
             before_apply,
@@ -199,7 +201,7 @@
         };
     }
 
-    /// Limits it to this number of requests a second, from now on.
+    /// Limits the host's capacity to this number of requests per second from now on.
     pub fn limit_capacity(&self, per_s: f64) {
         *lock(&self.shared.capacity) = Some(Capacity {
             per_s,
@@ -208,8 +210,8 @@
         });
     }
 
-    /// Starts it cold now, with this share of its capacity, which grows to the whole over `duration`. The requests that
-    /// waited there are gone. A host without a limit stays without one.
+    /// Simulates a restart: the host has this share of its capacity now, which grows linearly to the full capacity over
+    /// `duration`. Requests queued before no longer delay new ones. Has no effect on a host without a limit.
     pub fn restart_cold(&self, initial_share: f64, duration: Duration) {
         if let Some(capacity) = lock(&self.shared.capacity).as_mut() {
             let now = Instant::now();
@@ -222,17 +224,17 @@
         }
     }
 
-    /// Resets every connection that is open, idle ones and those with a statement under way.
+    /// Resets all open connections, both idle ones and those with a statement in flight.
     pub fn reset_connections(&self) {
         self.shared.resets.notify_waiters();
     }
 
-    /// Shows it a fencing token of a task that no gateway has sent.
+    /// Records a fencing token of a task as seen though no gateway has sent it, so that the host refuses older ones.
     pub fn saw(&self, task: u64, epoch: u64) {
         self.seen().is_outdated(task, epoch);
     }
 
-    /// Its entry in the list of one gateway.
+    /// The host's entry in the endpoint list of a gateway.
     #[must_use]
     pub fn entry(&self, gateway: usize) -> Value {
         json!({
@@ -248,7 +250,7 @@
     }
 }
 
-/// Serves the connections of a gateway, each by a task of its own, for ever.
+/// Accepts the connections of a gateway in an endless loop, and starts a task for each.
 async fn accept(host: Arc<SharedHost>, listener: TcpListener, gateway: usize) {
     loop {
         match listener.accept().await {
--- a/crates/testbed/src/cluster/stand_ins/host_connection.rs
+++ b/crates/testbed/src/cluster/stand_ins/host_connection.rs
@@ -1,4 +1,4 @@
-//! A gateway's connection to a stand-in host.
+//! Serves a gateway's connection to a stand-in host.
 
 use super::host::{Probe, SharedHost};
 use super::{lock, protocol};
@@ -9,24 +9,24 @@
 use tokio::io::AsyncWriteExt;
 use tokio::net::TcpStream;
 
-/// Between two checks whether a link is cut.
+/// Time between two checks whether a link is still cut.
 const LINK_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Longest statement that is recorded whole, in bytes: a run sends thousands.
+/// Maximum recorded length of a statement, in bytes, which limits memory because a run sends thousands of statements.
 const MAX_RECORDED_BYTES: usize = 4_096;
-/// The SQLSTATE of a health check whose fencing token is outdated.
+/// SQLSTATE of the answer to a health check whose fencing token is outdated.
 const OUTDATED_TOKEN: &str = "40001";
-/// The SQLSTATE of a write that a replica was sent.
+/// SQLSTATE of the answer to a write that was sent to a replica.
 const READ_ONLY: &str = "25006";
 
-/// Serves a connection of a gateway until it ends, or until the host's connections are reset.
+/// Serves a connection of a gateway until it ends or the host's connections are reset.
 pub(super) async fn serve(host: Arc<SharedHost>, mut stream: TcpStream, gateway: usize) {
     let is_reset = tokio::select! {
         () = host.resets.notified() => true,
         _ = answer_statements(&host, &mut stream, gateway) => false,
     };
     if is_reset {
-        // Closing it then resets it.
+        // Without lingering, closing the connection sends a TCP reset.
         let _ = stream.set_zero_linger();
     }
 }
@@ -43,7 +43,7 @@
     stream.write_all(&welcome.concat()).await.ok()?;
     loop {
         let message = protocol::read_message(stream).await?;
-        // What a link that is cut holds back has left the gateway all the same.
+        // Taken before the wait for the link, because the gateway has sent a statement that a cut link holds back.
         let arrived_at = host.clock.now();
         host.wait_for_link(gateway).await;
         if message.tag != b'Q' {
@@ -58,7 +58,7 @@
     }
 }
 
-/// What is kept of a statement: of a long one the end, where its comment is.
+/// The part of a statement that is recorded: the end of a long one, because it has the comment there.
 fn recorded(text: &str) -> &str {
     let from = text.len().saturating_sub(MAX_RECORDED_BYTES);
     text.get(from..).unwrap_or(text)
@@ -121,7 +121,8 @@
         protocol::row(&report, self.primary)
     }
 
-    /// Applies a write once within the deduplication window. A repeat is discarded, and answered as the first was.
+    /// Applies a write, unless its key was applied within the deduplication window; a write that is discarded gets the
+    /// same answer.
     async fn apply_write(&self, key: &str) -> Vec<u8> {
         let delays = *lock(&self.write_delays);
         tokio::time::sleep(delays.before_apply).await;
--- a/crates/testbed/src/cluster/stand_ins/listed_sets.rs
+++ b/crates/testbed/src/cluster/stand_ins/listed_sets.rs
@@ -1,5 +1,5 @@
-//! Further sets of a large fleet. All their primaries are played by one stand-in host and all their replicas by another
-//! one, so that thousands of hosts take a few sockets.
+//! Additional sets that make a large fleet. One stand-in host plays all their primaries and another one all their
+//! replicas, so that thousands of hosts need only a few sockets.
 
 use super::host::{Host, HostSpec};
 use super::{Clock, SocketError};
@@ -7,33 +7,33 @@
 use serde_json::{json, Value};
 use std::time::Duration;
 
-/// Hosts of a set.
+/// Number of hosts in each additional set.
 pub const SET_SIZE: u64 = 12;
 
-/// A host as the list names it.
+/// A host that is named in the endpoint list.
 #[derive(Clone, Debug)]
 pub(super) struct ListedHost {
-    /// Its id.
+    /// Id of the host in the list.
     pub(super) id: String,
-    /// Whether it takes writes.
+    /// Whether it is the primary of its set.
     pub(super) primary: bool,
 }
 
-/// The further sets.
+/// The additional sets and the two hosts that play them.
 pub(super) struct ListedSets {
-    /// The number of the first one.
+    /// Number of the first set; the others follow it.
     first: u64,
-    /// How many there are.
+    /// Number of sets.
     count: u64,
     primaries: Host,
     replicas: Host,
 }
 
 impl ListedSets {
-    /// Starts the hosts that play `count` sets, the first of which has the number `first`.
+    /// Starts the two hosts that play the sets from number `first` to `first + count - 1`.
     ///
     /// # Errors
-    /// There are no sockets.
+    /// A socket cannot be bound.
     pub(super) async fn start(
         first: u64,
         count: u64,
@@ -62,7 +62,7 @@
         sets.map(hosts_of).collect()
     }
 
-    /// The entries of all hosts in the list of one gateway.
+    /// The entries of all hosts of these sets in the endpoint list of a gateway.
     pub(super) fn entries(&self, gateway: usize) -> Vec<Value> {
         let mut entries = Vec::new();
         for set in self.first..self.first + self.count {
@@ -82,7 +82,7 @@
     }
 }
 
-/// The id of a host; that of the primary has index 0.
+/// The id of a host in an additional set; the primary has index 0.
 #[must_use]
 pub fn host_id(set: u64, index: u64) -> String {
     format!("x{set}-{index}")
--- a/crates/testbed/src/cluster/stand_ins/mod.rs
+++ b/crates/testbed/src/cluster/stand_ins/mod.rs
@@ -1,5 +1,6 @@
-//! Stand-ins for what the gateways of a cluster connect to, as small as its tests need them: database hosts, the discovery
-//! service, and the relay between gateways. They run on one thread, which ends with the cluster.
+//! Stand-ins for the services to which the gateways of a cluster connect: database hosts, the discovery service, and
+//! the relay between gateways. They implement only what the tests need. They run on one thread, which ends with the
+//! cluster.
 
 pub mod checking_gateway;
 pub mod discovery;
@@ -26,11 +27,11 @@
     pub(super) relay: Relay,
     pub(super) hosts: Vec<Host>,
     pub(super) discovery: Discovery,
-    /// The gateway that checks all sets for the others, where one does.
+    /// The gateway, played by the testbed, that checks the hosts of all sets; `None` if the plan has no listed sets.
     pub(super) checking_gateway: Option<CheckingGateway>,
 }
 
-/// Starts the stand-ins on a thread of their own, which ends when the sender that is returned is dropped.
+/// Starts the stand-ins on a separate thread, which ends when the returned sender is dropped.
 pub(super) fn start_on_own_thread(
     plan: &Plan,
     clock: Clock,
@@ -101,7 +102,7 @@
     }
 }
 
-/// The hosts that run, by set.
+/// Groups the stand-in hosts by set; those of a set are adjacent.
 fn sets_of(hosts: &[Host]) -> Vec<Vec<ListedHost>> {
     let listed = |host: &Host| ListedHost {
         id: host.id.clone(),
--- a/crates/testbed/src/cluster/stand_ins/protocol.rs
+++ b/crates/testbed/src/cluster/stand_ins/protocol.rs
@@ -1,25 +1,25 @@
-//! The messages of PostgreSQL's protocol that a stand-in host reads and writes.
+//! Reads and encodes the PostgreSQL protocol messages that a stand-in host needs.
 
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Longest message that is read, in bytes.
+/// Maximum length of the body of a message that is read, in bytes.
 const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// A message of a client.
+/// A message received from a client, which is a gateway here.
 pub(super) struct ClientMessage {
-    /// Its type; 0 for the first message of a connection, which has none.
+    /// Type byte of the message; 0 for the startup message, which has none.
     pub(super) tag: u8,
-    /// What follows its length.
+    /// The bytes that follow the length field.
     pub(super) body: Vec<u8>,
 }
 
-/// Reads the first message of a connection.
+/// Reads the startup message of a connection; `None` if the connection ends or the message is too long.
 pub(super) async fn read_startup(stream: &mut TcpStream) -> Option<ClientMessage> {
     read_body(stream, 0).await
 }
 
-/// Reads a message.
+/// Reads a message after startup; `None` if the connection ends or the message is too long.
 pub(super) async fn read_message(stream: &mut TcpStream) -> Option<ClientMessage> {
     let tag = stream.read_u8().await.ok()?;
     read_body(stream, tag).await
@@ -56,7 +56,7 @@
     message(b'E', format!("SERROR\0C{sqlstate}\0Mno\0\0").as_bytes())
 }
 
-/// The answer of one row of one column, with the role of the host that gives it.
+/// The answer to a statement: a row of one column, and the `server_role` parameter with the role of the host.
 pub(super) fn row(value: &str, primary: bool) -> Vec<u8> {
     let length = value.len() as u32;
     let data_row = [&[0, 1][..], &length.to_be_bytes()[..], value.as_bytes()].concat();
--- a/crates/testbed/src/cluster/timed_reads.rs
+++ b/crates/testbed/src/cluster/timed_reads.rs
@@ -1,4 +1,4 @@
-//! Reads with short deadlines, and how late their answers come.
+//! Sends reads with short deadlines, and measures how long after their deadlines the answers arrive.
 
 use super::ClusterError;
 use std::net::SocketAddr;
@@ -8,36 +8,36 @@
 use tokio::time::{sleep, timeout};
 use tokio_postgres::{Client, NoTls};
 
-/// How long clients wait for their answers, in turn, in milliseconds.
+/// Deadlines that clients state in their reads, in turn, in milliseconds after the read was sent.
 const DEADLINES_MS: [u64; 5] = [0, 1, 50, 200, 400];
-/// A read without an answer after this time counts as unanswered.
+/// Time after which a read without an answer counts as unanswered; also limits the time to connect.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
-/// Steps by which clients go through the sets.
+/// Distance between the numbers of the sets of two successive reads of a client, modulo the number of sets.
 const SET_STRIDE: u64 = 7_919;
 
-/// What the clients send.
+/// The number of clients and the reads that they send.
 #[derive(Debug, Clone, Copy)]
 pub struct TimedReads {
     /// Number of clients.
     pub clients: u64,
-    /// Time between two reads of a client.
+    /// Time between the starts of two reads of a client.
     pub interval: Duration,
-    /// How long they send.
+    /// Time from the start until clients send no more reads.
     pub duration: Duration,
-    /// Number of sets that they ask, from the first one on.
+    /// Number of sets, from set 0 on, to which clients send reads.
     pub sets: u64,
 }
 
-/// What came of the reads.
+/// The outcomes of the reads.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReadCounts {
-    /// All.
+    /// Number of reads that were sent.
     pub requests: usize,
-    /// Those that were served.
+    /// Number of reads that were served.
     pub served: usize,
-    /// Those without an answer.
+    /// Number of reads without an answer: timed out, or ended by an error that is not from the server.
     pub unanswered: usize,
-    /// The longest time from a deadline to its answer.
+    /// Longest time from the deadline of a read to its end.
     pub latest: Duration,
 }
 
@@ -49,7 +49,7 @@
         self.latest = self.latest.max(other.latest);
     }
 
-    /// The share that was served.
+    /// The share of reads that was served, 0 to 1.
     #[must_use]
     pub fn served_share(&self) -> f64 {
         self.served as f64 / self.requests.max(1) as f64
@@ -57,10 +57,10 @@
 }
 
 impl TimedReads {
-    /// Sends all reads to the gateway at this address.
+    /// Sends all reads to the gateway at this address and waits for their ends.
     ///
     /// # Errors
-    /// There is no runtime.
+    /// The runtime cannot be created.
     pub fn run(self, address: SocketAddr) -> Result<ReadCounts, ClusterError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -102,7 +102,7 @@
         counts
     }
 
-    /// Sends one read, and waits for its answer.
+    /// Sends one read and waits for its answer or the timeout.
     async fn read(self, connection: &Client, client: u64, number: u64) -> ReadCounts {
         let id = (client << 32) + number + 1;
         let deadline_ms = DEADLINES_MS[((client + number) % DEADLINES_MS.len() as u64) as usize];
@@ -129,7 +129,7 @@
     }
 }
 
-/// A session; none where the gateway takes none.
+/// Opens a session; `None` if the gateway does not accept it within [`ANSWER_TIMEOUT`].
 async fn connect(address: SocketAddr) -> Option<Rc<Client>> {
     let port = address.port();
     let url = format!("host=127.0.0.1 port={port} user=web dbname=orders");
--- a/crates/testbed/src/cluster/views.rs
+++ b/crates/testbed/src/cluster/views.rs
@@ -1,4 +1,4 @@
-//! What the gateways of a cluster report of one another: on their consoles, and in their logs.
+//! Reads the gateways' views of one another from their consoles and their logs.
 
 use super::process::ProcessId;
 use super::Cluster;
@@ -6,12 +6,12 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-/// How long a console's answer is waited for.
+/// Longest wait for each read of a console's answer.
 const CONSOLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Between two reads of all views.
+/// Time between two checks whether all views agree.
 const VIEW_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A change of a gateway's view that it has logged.
+/// A state change of a gateway, as an observing gateway has logged it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewChange<'a> {
     /// The gateway whose state changed.
@@ -23,7 +23,7 @@
 }
 
 impl<'a> ViewChange<'a> {
-    /// Reads a log line; none where it reports no change of a view.
+    /// Parses a log line; `None` if it does not report a state change of a gateway.
     #[must_use]
     pub fn parse(line: &'a str) -> Option<Self> {
         let (_, change) = line.split_once("membership: gateway ")?;
@@ -39,7 +39,7 @@
 }
 
 impl Cluster {
-    /// What a gateway's console answers to a line; empty where it does not.
+    /// Sends a line to a gateway's console and returns the answer; empty if the gateway does not run or answer.
     #[must_use]
     pub fn call(&self, gateway: usize, line: &str) -> String {
         self.call_console(gateway, line).unwrap_or_default()
@@ -54,7 +54,8 @@
         Some(answer.trim().to_string())
     }
 
-    /// The state of each gateway in the view of `observer`, by its console; empty where it is unknown.
+    /// The state of each gateway in the view of `observer`, which its console reports; empty for a gateway without a
+    /// state.
     #[must_use]
     pub fn view(&self, observer: usize) -> Vec<String> {
         let answer = self.call(observer, "members");
@@ -71,7 +72,7 @@
         (0..self.plan.gateways).map(state).collect()
     }
 
-    /// Whether every running gateway holds exactly the running ones alive.
+    /// Returns whether all views agree: each running gateway believes exactly the running gateways to be alive.
     #[must_use]
     pub fn one_view(&self) -> bool {
         let running = self.running();
@@ -82,7 +83,7 @@
         })
     }
 
-    /// Waits until every running gateway holds exactly the running ones alive: how long that took, or none where it took
+    /// Waits until all views agree, see [`Cluster::one_view`], and returns how long that took; `None` if it took
     /// longer than `timeout`.
     #[must_use]
     pub fn settle(&self, timeout: Duration) -> Option<Duration> {
@@ -96,8 +97,8 @@
         None
     }
 
-    /// The times at which gateway `observer`, in its present run, logged that `member` became `state`: milliseconds since
-    /// the start of the run.
+    /// The times at which the current process of gateway `observer` logged that `member` changed to `state`, in
+    /// milliseconds since the start of the run.
     #[must_use]
     pub fn changes(&self, observer: usize, member: usize, state: &str) -> Vec<u64> {
         let id = ProcessId {
--- a/crates/testbed/tests/cluster.rs
+++ b/crates/testbed/tests/cluster.rs
@@ -1,6 +1,7 @@
-//! Several real gateways with membership on, behind the fault proxy: crashes (kill -9), stalls (SIGSTOP and SIGCONT),
-//! cuts, partitions, loss, delay, restarts, and a planned stop. Each test waits for conditions with a long timeout; no step
-//! depends on a tight timing. Pings every 200 ms keep a run short; the stall survived is 3 s.
+//! Tests of membership with several real gateways behind the fault proxy: crashes (SIGKILL), stalls (SIGSTOP and
+//! SIGCONT), cuts, partitions, loss, delay, restarts, and a planned stop. Each test waits for conditions with a long
+//! timeout, so that no step depends on tight timing. The ping period is 200 ms, which keeps a run short; a gateway
+//! survives a stall of 3 s.
 
 mod common;
 
@@ -53,7 +54,7 @@
     };
     assert!(by_any("suspect"), "no gateway suspected the stalled one");
     assert!(!by_any("down"), "a stalled gateway was declared down");
-    // Nor does the one that was away take its own absence for theirs.
+    // The stalled gateway received nothing during its stall, and must not declare the others down for that.
     for other in others {
         assert!(
             !cluster_changes(&cluster, 2, other, "down", began),
@@ -116,7 +117,7 @@
         );
         std::thread::sleep(Duration::from_millis(50));
     }
-    // Only the larger side may claim what needs a majority.
+    // Only the larger side has a majority.
     assert!(cluster
         .call(0, "members")
         .contains("reachable=3 of 5 majority=true"));
@@ -135,7 +136,7 @@
     cluster
         .settle(PATIENCE)
         .expect("the others declare it down");
-    // Whoever hears it from the gateway itself needs no suspicion before.
+    // A gateway that receives the announcement of the stop declares the member down without suspecting it first.
     assert!([0, 2, 3].iter().any(|&o| {
         cluster_changes(&cluster, o, 1, "down", began)
             && !cluster_changes(&cluster, o, 1, "suspect", began)
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real gateways share.
+//! Helpers for the tests with real gateways.
 
 #![allow(dead_code, reason = "not every test uses all of it")]
 
@@ -14,7 +14,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The gateway's program, which the whole workspace's tests have built; a test of this package alone builds it.
+/// Path of the gateway's executable. A test run of the whole workspace has built it already; a test run of this package
+/// alone builds it here.
 pub fn gateway() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_irisrouter-testbed")).with_file_name("irisrouter");
     if !path.is_file() {
@@ -31,7 +32,7 @@
     path
 }
 
-/// A small cluster: one set in one zone.
+/// The plan of a small cluster with one set in one zone.
 pub fn plan(gateways: usize, seed: u64, operators: String) -> Plan {
     Plan {
         gateways,
@@ -47,7 +48,7 @@
     }
 }
 
-/// Gateways with leases on and three sets, each of which has a holder of its lease.
+/// Starts a cluster with leases on and three sets, and waits until each set has a lease holder.
 pub fn started(gateways: usize, seed: u64) -> Cluster {
     let operators = Pace {
         lease_ms: Some(LEASE_MS),
@@ -79,7 +80,8 @@
     }
 }
 
-/// A client that sends one statement on a connection of its own: the value it got, or the code of the refusal.
+/// Sends one statement on a new connection. Returns the first value of the answer, or the error's SQLSTATE (`closed`
+/// if it has none).
 pub fn ask(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
     let at = cluster.process(gateway).expect("runs").address;
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/testbed/tests/drains.rs
+++ b/crates/testbed/tests/drains.rs
@@ -1,5 +1,6 @@
-//! Drains of database hosts with real gateways: an operator's command at one of them holds at all, and the next coordinator
-//! completes the drain when its coordinator dies. Checked is what the host was sent and what the gateways logged.
+//! Tests of draining database hosts with real gateways: a command that an operator gives one gateway takes effect at
+//! all, and if the coordinator of a drain dies, another gateway completes the drain. The tests check the statements
+//! that the host received and the lines that the gateways logged.
 
 mod common;
 
@@ -10,38 +11,38 @@
 use irisrouter_testbed::cluster::Cluster;
 use std::time::Duration;
 
-/// A read that any host of set 1 may answer.
+/// A read that any host of set 1 can answer.
 fn read(id: &str) -> String {
     format!(
         "SELECT payload FROM entries WHERE ref = '7f3a' /* id={id},c=report,d=6000,cluster=1 */"
     )
 }
 
-/// What the log of the coordinator that found the completion says of its source.
+/// Text in the completion line of the coordinator that completed the drain.
 const FOUND: &str = "completed here";
-/// What the logs of the other gateways say of its source.
+/// Text in the completion lines of the other gateways, which received the completion from another one.
 const RECEIVED: &str = "(completion received";
 
-/// Whether a gateway's console lists the lease on a drain among those that it holds.
+/// Returns whether a gateway's console lists the lease on a drain among the leases that it holds.
 fn coordinates_drain(cluster: &Cluster, gateway: usize) -> bool {
     cluster.call(gateway, "duties").contains("drain-")
 }
 
-/// The gateway that coordinates a drain.
+/// Returns the first running gateway that holds the lease on a drain.
 fn coordinator(cluster: &Cluster) -> Option<usize> {
     let mut gateways = cluster.running().into_iter();
     gateways.find(|&gateway| coordinates_drain(cluster, gateway))
 }
 
-/// A gateway's log line that says that h1-1 is drained.
+/// A log line of a gateway that reports that h1-1 is drained.
 #[derive(Debug, PartialEq, Eq)]
 struct LoggedCompletion {
     gateway: usize,
-    /// When it was logged, in milliseconds of the run.
+    /// Time at which it was read, in milliseconds since the start of the run.
     at_ms: u64,
 }
 
-/// The log lines of all gateways that say that h1-1 is drained and contain this text.
+/// The log lines of all gateways that report that h1-1 is drained and contain this text.
 fn logged_completions(cluster: &Cluster, text: &str) -> Vec<LoggedCompletion> {
     let is_completion =
         |line: &&Line| line.text.contains("drains: h1-1 is drained") && line.text.contains(text);
@@ -54,16 +55,16 @@
         .look(|lines| lines.iter().filter(is_completion).map(completion).collect())
 }
 
-/// A statement that a host was sent.
+/// A statement that a host received.
 #[derive(Debug, PartialEq, Eq)]
 struct SentStatement {
-    /// When it arrived, in milliseconds of the run.
+    /// Time at which it arrived, in milliseconds since the start of the run.
     at_ms: u64,
     /// The gateway that sent it.
     gateway: usize,
 }
 
-/// The statements that a host was sent from this time on, in milliseconds of the run.
+/// The statements that a host received from `from_ms` on, in milliseconds since the start of the run.
 fn sent_statements(cluster: &Cluster, host_id: &str, from_ms: u64) -> Vec<SentStatement> {
     let host = find_host(cluster, host_id);
     let seen = host.seen();
@@ -85,13 +86,13 @@
 fn drain_holds_at_every_gateway_until_the_host_is_put_back_in_service() {
     let cluster = started(4, 31);
     let host = find_host(&cluster, "h1-1");
-    // A read is in flight at the host: the connection between the two is cut once it is up.
+    // Puts a read in flight at the host: the first read opens a connection, then the link is cut.
     assert!(ask(&cluster, 3, &read("a0")).is_ok());
     host.cut(3, true);
     std::thread::scope(|scope| {
         let pending_read = scope.spawn(|| ask(&cluster, 3, &read("a1")));
-        // Its gateway has it in flight there by now, or has had it there and retried elsewhere: that a drain waits for it
-        // is checked in crates/drain-coordination/tests/fleet.rs.
+        // By now the gateway has the read in flight at this host, or has already retried it at another one. That a
+        // drain waits for a request in flight is tested in crates/drain-coordination/tests/fleet.rs.
         std::thread::sleep(Duration::from_millis(150));
         let answer = cluster.call(2, "drain h1-1");
         assert!(
@@ -111,14 +112,14 @@
     wait("the other gateways receive the completion", || {
         logged_completions(&cluster, RECEIVED).len() == 3
     });
-    // No gateway sends anything there any more.
+    // After the completion no gateway sends statements to the host.
     let drained_at = cluster.clock.now();
     for n in 0..24 {
         assert!(ask(&cluster, n % 4, &read(&format!("b{n}"))).is_ok());
     }
     assert_eq!(sent_statements(&cluster, "h1-1", drained_at), []);
     assert!(sent_statements(&cluster, "h1-0", drained_at).len() >= 24);
-    // The last host of a set stays in service, whatever an operator commands.
+    // An operator cannot drain the last host of a set that is in service.
     assert_eq!(
         cluster.call(0, "drain h1-0"),
         "-ERR h1-0 is the last host of its set in service"
@@ -153,7 +154,7 @@
     };
     let issuer = (first + 1) % 5;
     let stalled = (first + 2) % 5;
-    // The stalled gateway can't report its requests in flight, and no coordinator may complete the drain without it.
+    // No coordinator may complete the drain while the stalled gateway cannot report its requests in flight.
     cluster.stall(stalled);
     let answer = cluster.call(issuer, "drain h1-1");
     assert!(answer.starts_with("+OK"), "{answer}");
@@ -175,9 +176,10 @@
     });
     let found = logged_completions(&cluster, FOUND);
     assert_eq!(found.len(), 1, "one gateway completes it: {found:?}");
-    // Any gateway but the dead one: the stalled one may acquire the lease after it has resumed.
+    // Any gateway except the crashed one may complete it, also the stalled one, which may acquire the lease after it
+    // has resumed.
     assert_ne!(found[0].gateway, first);
-    // The gateway that starts again knows no command, and receives this one.
+    // The restarted gateway has no record of the drain and receives it from the others.
     cluster.launch(first).expect("the gateway starts again");
     wait(
         "the gateway that started again receives the completion",
--- a/crates/testbed/tests/endpoint_watch.rs
+++ b/crates/testbed/tests/endpoint_watch.rs
@@ -1,6 +1,7 @@
-//! One gateway of a fleet watches the list for all, by long polls: another one takes over when it is killed, and each
-//! gateway watches for itself when the holder of that lease can't reach discovery. What is checked is the calls that
-//! discovery received and the statements that the hosts were sent.
+//! Tests of the watch of the endpoint list. One gateway of a fleet holds the lease on the watch and sends long polls
+//! to discovery for all; another one takes over when it is killed, and each gateway sends its own long polls while
+//! discovery refuses the holder. The tests check the calls that discovery received and the statements that the hosts
+//! received.
 
 mod common;
 
@@ -33,7 +34,7 @@
     (cluster, watcher)
 }
 
-/// The gateway that reports on its console that it holds the lease on the watch.
+/// Returns the first running gateway whose console reports that it holds the lease on the watch of the endpoint list.
 fn watcher(cluster: &Cluster) -> Option<usize> {
     cluster
         .running()
@@ -41,7 +42,7 @@
         .find(|&g| cluster.call(g, "duties").contains("list:"))
 }
 
-/// Whether reads through a gateway reach the replica of set 1, out of twelve.
+/// Sends twelve reads of set 1 through a gateway, and returns whether any of them reached the replica.
 fn reach(cluster: &Cluster, gateway: usize) -> bool {
     let from = cluster.clock.now();
     for n in 0..12 {
@@ -102,7 +103,7 @@
     wait("served again by all", || {
         cluster.running().into_iter().all(|g| reach(&cluster, g))
     });
-    // Back, and first in the order: it watches again, and the other one rests.
+    // After its restart the first candidate takes the watch back, and the other gateway stops its long poll.
     cluster.launch(first).expect("starts again");
     wait("the first one again", || {
         cluster.discovery.long_polling() == [first]
@@ -114,7 +115,7 @@
     let (cluster, first) = started(4, 42);
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
     assert!(others.iter().all(|&g| reach(&cluster, g)));
-    // The others can't have the list themselves.
+    // Discovery refuses the others, so they cannot fetch the list themselves.
     others.iter().for_each(|&g| cluster.discovery.refuse(g));
     cluster.discovery.set_phase("h1-1", "terminating");
     wait("no gateway sends there", || {
@@ -131,7 +132,7 @@
 fn all_gateways_watch_for_themselves_while_discovery_refuses_the_watcher() {
     let (cluster, first) = started(4, 43);
     cluster.discovery.refuse(first);
-    // Its open watch is answered, and its next call refused.
+    // A new revision ends the watcher's open long poll; its next call is refused.
     cluster.discovery.set_phase("h2-1", "terminating");
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
     wait("the others watch", || {
@@ -149,7 +150,8 @@
     });
 }
 
-/// Where the list is pushed, each gateway has an agent of its own and watches it, whatever the operators' file says.
+/// If an agent beside each gateway pushes the list, each gateway watches its own agent, even if the operators' file
+/// enables a shared watch.
 #[test]
 fn each_gateway_watches_for_itself_where_the_list_is_pushed() {
     let pace = Pace {
--- a/crates/testbed/tests/large_fleet.rs
+++ b/crates/testbed/tests/large_fleet.rs
@@ -1,4 +1,5 @@
-//! Gateways in front of thousands of hosts, while another gateway sends them the health checks of all of them.
+//! Tests of gateways in front of thousands of hosts: another gateway, played by the testbed, sends them the
+//! health-check results of all hosts.
 
 mod common;
 
@@ -9,17 +10,17 @@
 use std::thread;
 use std::time::Duration;
 
-/// Sets of a usual fleet, 192 hosts, and of the operators' largest, 3,204.
+/// Number of sets of a typical fleet (192 hosts), and of the operators' largest one (3,204 hosts).
 const USUAL_SETS: u64 = 16;
 const MOST_SETS: u64 = 267;
-/// An answer that comes later than this after its deadline counts as lost.
+/// An answer that arrives later than this after its deadline counts as lost.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
-/// The gateway's part of a core.
+/// Share of a processor core to which a gateway is limited.
 const CORE_SHARE: f64 = 0.1;
-/// Changes of the list on a day that has them, and the time between two of them.
+/// Number of changes of the endpoint list in a run with changes, and the time between two of them.
 const CHANGES: u64 = 700;
 const CHANGE_INTERVAL: Duration = Duration::from_millis(10);
-/// How long the results of the health checks are held back before they come all at once.
+/// Time for which health-check results are held back before they are all sent in one burst.
 const HOLD: Duration = Duration::from_millis(1_500);
 
 fn start(gateways: usize, listed_sets: u64) -> Cluster {
@@ -53,7 +54,8 @@
     assert!(reads.served > 0, "{reads:?}");
 }
 
-/// Changes the list so many times: a host of a set that few ask drains, and is in service again with the next change.
+/// Makes this many changes of the list: a change sets a host of set 1, to which few reads are sent, to `terminating`,
+/// and the next change sets it back to `in_service`.
 fn change_list(cluster: &Cluster, changes: u64, interval: Duration) {
     for change in 0..changes {
         let phase = ["terminating", "in_service"][(change % 2) as usize];
@@ -91,8 +93,9 @@
     assert_none_lost(reads);
 }
 
-/// Datagrams between the gateways are lost, late and cut off, one gateway stands still again and again, another is killed
-/// and starts again with all hosts; results that were held back come all at once.
+/// Datagrams between the gateways are lost, delayed and cut off, one gateway is killed and starts again with all
+/// hosts, and health-check results that were held back arrive in a burst. Each gateway is stopped (SIGSTOP) whenever
+/// it exceeds its share of a core.
 #[test]
 fn gateways_of_a_large_fleet_lose_no_answer_while_links_break_and_one_is_killed() {
     let mut cluster = start(3, MOST_SETS);
@@ -123,7 +126,7 @@
     reads.into_iter().for_each(assert_none_lost);
 }
 
-/// What a day at a gateway came to.
+/// The measured costs of a gateway in a run.
 #[derive(Clone, Copy, Debug)]
 struct Day {
     reads: ReadCounts,
@@ -132,11 +135,11 @@
     list_bytes: u64,
 }
 
-/// What the list of hosts does on a day.
+/// The changes of the endpoint list during a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ListChanges {
     None,
-    /// One host changes, a hundred times a second.
+    /// A host changes its phase a hundred times a second.
     OneHost,
 }
 
@@ -158,7 +161,7 @@
     }
 }
 
-/// Plays a day with the usual and with the largest number of hosts, and checks the growth of its costs.
+/// Measures a run with the typical and one with the largest number of hosts, and checks the growth of the costs.
 fn check_costs(list_changes: ListChanges) {
     let (usual, large) = thread::scope(|scope| {
         let usual = scope.spawn(|| play_day(USUAL_SETS, list_changes));
@@ -170,7 +173,7 @@
     let processor = |day: &Day| day.used.processor_time.as_secs_f64();
     let memory_mb = |day: &Day| day.used.peak_memory_kb as f64 / 1_024.0;
     let list_kb = |day: &Day| day.list_bytes as f64 / 1_024.0;
-    // The operators' limits on the growth over the same day.
+    // The operators' limits on the growth of the costs of the same run.
     assert!(processor(&large) <= 1.4 * processor(&usual) + 0.02 + 0.03 * thousands);
     assert!(memory_mb(&large) <= 1.5 * memory_mb(&usual) + 8.0 + 4.0 * thousands);
     assert!(large.used.descriptors <= 2 * usual.used.descriptors + 40);
--- a/crates/testbed/tests/site_loss.rs
+++ b/crates/testbed/tests/site_loss.rs
@@ -1,5 +1,6 @@
-//! The loss and the return of a whole site with real gateways and hosts in three zones: what is refused, how load ramps up
-//! after the return, and who follows which failover plan while gateways die or are cut off.
+//! Tests of the loss and the return of a whole site with real gateways and hosts in three zones: which requests are
+//! rejected, how load ramps up after the return, and which failover plan the gateways follow while some are killed or
+//! cut off.
 
 mod common;
 
@@ -11,7 +12,7 @@
 use irisrouter_testbed::cluster::{Cluster, Plan};
 use std::time::Duration;
 
-/// A host's capacity is 40 requests a second, and reports are refused first.
+/// Settings of site failover: a host's capacity is 40 requests per second, and reports are rejected before page reads.
 const SITES: &str = "sites: { enabled: true, capacity_per_s: 40, refuse: ['report', 'page-read'], \
                      lost_after_ms: 500, back_after_ms: 500, ramp_from: 0.05, ramp_ms: 10000 }, ";
 
@@ -33,7 +34,7 @@
     cluster
 }
 
-/// The gateway that reports on its console that it holds the lease on the failover plan.
+/// Returns the first running gateway whose console reports that it holds the lease on the failover plan.
 fn planner(cluster: &Cluster) -> Option<usize> {
     cluster
         .running()
@@ -41,7 +42,7 @@
         .find(|&g| cluster.call(g, "duties").contains("plan:"))
 }
 
-/// Cuts these gateways off from the hosts of a zone, or joins them again.
+/// Cuts the links between these gateways and the hosts of a zone, or restores them if `cut` is `false`.
 fn cut(cluster: &Cluster, zone: &str, gateways: &[usize], cut: bool) {
     for host in cluster.hosts.iter().filter(|h| h.zone == zone) {
         gateways.iter().for_each(|&g| host.cut(g, cut));
@@ -59,7 +60,8 @@
     timeout_ms: 900,
 };
 
-/// Statements that a host was sent between two times.
+/// Returns the number of statements that a host received at `from` or later and before `to`, in milliseconds since the
+/// start of the run.
 fn sent(cluster: &Cluster, id: &str, from: u64, to: u64) -> usize {
     let host = cluster.hosts.iter().find(|h| h.id == id).expect("a host");
     let seen = host.seen();
@@ -87,13 +89,13 @@
         std::thread::sleep(Duration::from_secs(3));
         let back = cluster.clock.now();
         cut(&cluster, "a", &all, false);
-        // Set 1 has lost none of its hosts: what is refused there is refused by the plan.
+        // Set 1 has no host in the lost zone, so its requests are rejected only because of the failover plan.
         let outcomes: Vec<RequestOutcome> = load
             .outcomes_between(followed, back)
             .into_iter()
             .filter(|outcome| outcome.set == 1)
             .collect();
-        // Also on a busy machine, where a page read may be given up as ever.
+        // The bound on page reads is not 0, because on a busy machine a page read may fail for other reasons.
         let refused = |class| {
             let sent = outcomes.iter().filter(|outcome| outcome.class == class);
             sent.clone().filter(|outcome| !outcome.is_served()).count() as f64
@@ -111,13 +113,13 @@
                 .collect::<String>()
                 .parse()
                 .unwrap_or(0);
-            // Between one and two of twice the time after which a site counts as lost.
+            // The pause is once to twice as long as 1 s, which is twice the time after which a site counts as lost.
             assert!(
                 code == "53300" && (1_000..=2_001).contains(&pause),
                 "{code} {detail}"
             );
         }
-        // The replica of set 2 comes back: in its first seconds it gets a small part of what it had.
+        // In its first seconds after the return, the replica of set 2 receives only a part of its load before the loss.
         std::thread::sleep(Duration::from_millis(2_500));
         let now = cluster.clock.now();
         let (before, after) = (
@@ -149,7 +151,8 @@
 #[test]
 fn site_that_is_cut_off_serves_by_itself_and_plans_agree_after_the_cut_heals() {
     let cluster = started(5, 52);
-    // Gateways 0 and 3 stand in zone a, with its hosts; the others have the rest.
+    // Gateways 0 and 3 are in zone a and reach only its hosts; the other gateways reach only the hosts of zones b and
+    // c.
     let (inside, outside) = ([0, 3], [1, 2, 4]);
     cluster.partition(&inside, &outside);
     cut(&cluster, "a", &outside, true);
@@ -159,7 +162,7 @@
         outside.iter().all(|&g| says(&cluster, g, "a=lost"))
     });
     assert!(inside.iter().all(|&g| !says(&cluster, g, "a=lost")));
-    // Both sides serve what they reach: the replica of set 2 stands inside, its primary outside.
+    // Each side serves set 2 with the host that it reaches: the replica is inside, the primary outside.
     for gateway in [0, 1] {
         wait("served on both sides", || {
             let id = format!("{:x}f{gateway}", cluster.clock.now());
@@ -193,7 +196,7 @@
     });
     let next = planner(&cluster).expect("another plans");
     assert_ne!(next, first);
-    // One that starts in the middle of it follows, too, and takes no lost site for one that is up.
+    // A gateway that starts during the loss also follows the plan, and does not believe the lost site to be available.
     cluster.launch(first).expect("starts again");
     wait("it follows", || says(&cluster, first, &lost));
     cut(&cluster, &zone, &[0, 1, 2, 3], false);
--- a/crates/testbed/tests/takeover.rs
+++ b/crates/testbed/tests/takeover.rs
@@ -1,5 +1,6 @@
-//! Takeover of leases, with real gateways: the holder of the lease on a set's health checks is killed, stalled or cut off,
-//! and one other gateway takes the lease over. What is checked is what the hosts received, as they recorded it.
+//! Tests of the takeover of leases with real gateways: the holder of the lease on a set's health checks is killed,
+//! stalled or cut off, and one other gateway takes the lease over. The tests check the health checks and statements
+//! that the hosts recorded.
 
 mod common;
 
@@ -11,7 +12,8 @@
 use irisrouter_testbed::cluster::{Cluster, PATIENCE};
 use std::time::Duration;
 
-/// Waits until the first candidate runs the health checks of a set, and returns it. It stays the holder of the lease.
+/// Waits until the first candidate for the lease on a set's health checks runs them, and returns it. A first candidate
+/// keeps the lease, so that the holder does not change before the test injects its fault.
 fn wait_for_first_candidate(cluster: &Cluster, gateways: u32, set: u64) -> usize {
     let gateways: Vec<GatewayId> = (0..gateways).map(GatewayId).collect();
     let first_candidate = rendezvous::candidates(TaskId(set), &gateways)[0].0 as usize;
@@ -21,7 +23,8 @@
     first_candidate
 }
 
-/// Checks by what the hosts saw that every set had one lease holder at a time, and none for no longer than the bound.
+/// Checks with the records of the hosts that every set had at most one lease holder at a time, and was never without
+/// one for longer than the bound.
 #[track_caller]
 fn assert_leases_hold(cluster: &Cluster, from: u64) {
     let bounds = Bounds {
@@ -33,11 +36,11 @@
     assert_eq!(findings.violations, [], "{findings:#?}");
 }
 
-/// What a gateway logs when it acquires the lease on the health checks of set 1, up to the epoch.
+/// Start of the line that a gateway logs when it acquires the lease on the health checks of set 1; the epoch follows.
 const ACQUIRED: &str =
     "irisrouter: leases: this gateway holds the lease on the health checks of set 1 under epoch ";
 
-/// A log line by which a gateway says that it holds the lease on the health checks of set 1.
+/// A log line that reports that a gateway has acquired the lease on the health checks of set 1.
 #[derive(Debug)]
 struct AcquisitionLine {
     gateway: usize,
@@ -55,8 +58,8 @@
         })
     }
 
-    /// Whether the reason is one that this gateway can give in a fleet of this size: nobody held the lease, or another
-    /// gateway's process did.
+    /// Returns whether the logged reason is possible in a fleet of this size: the lease was vacant, or the gateway
+    /// took it over from a process of another gateway.
     fn has_possible_reason(&self, fleet: usize) -> bool {
         if self.reason == "(it was vacant)" {
             return true;
@@ -71,7 +74,7 @@
     }
 }
 
-/// A gateway, and the epoch under which it sent a health check of set 1 that a host accepted.
+/// A health check of set 1 that a host accepted: the gateway that sent it and the epoch that it carried.
 #[derive(Debug, Clone, Copy)]
 struct AcceptedHealthCheck {
     gateway: usize,
@@ -92,8 +95,9 @@
         .collect()
 }
 
-/// Whom the log line names as the holder before is not checked here: where two candidates claim at once, the one that
-/// succeeds may name the other, as its voters granted that one last. `crates/leases/tests/previous_holder.rs` has both cases.
+/// The previous holder that the log line names is not checked here: if two candidates claim the lease at the same
+/// time, the successful one may name the other one, because its voters granted that one last.
+/// `crates/leases/tests/previous_holder.rs` tests both cases.
 #[test]
 fn lease_of_a_killed_holder_is_taken_over_by_one_other_gateway() {
     let mut cluster = started(4, 21);
@@ -114,8 +118,8 @@
         .find(|check| check.epoch > old_epoch)
         .expect("a health check under a later epoch");
     assert_ne!(successor.gateway, holder, "{successor:?}");
-    // The log says so in one line, by this gateway, under the epoch that its health check carried. Up to that epoch
-    // no other gateway took the lease.
+    // The successor logs the acquisition in one line, with the epoch that its health check carried. Until that epoch no
+    // other gateway acquired the lease.
     let acquisitions = |lines: &[Line]| -> Option<Vec<AcquisitionLine>> {
         let all = lines.iter().filter_map(AcquisitionLine::parse);
         let taken: Vec<AcquisitionLine> = all
@@ -133,7 +137,7 @@
     assert_eq!(acquisition.gateway, successor.gateway, "{acquisition:?}");
     assert!(acquisition.has_possible_reason(4), "{acquisition:?}");
     cluster.launch(holder).expect("starts again");
-    // It is the first candidate again, and gets the lease back.
+    // After its restart the gateway is the first candidate again and gets the lease back.
     wait("health checks by the first candidate", || {
         cluster.prober(1, 300) == Some(holder)
     });
@@ -155,7 +159,7 @@
     let back = cluster.clock.now();
     std::thread::sleep(Duration::from_secs(2));
     assert_leases_hold(&cluster, from);
-    // Not one probe of its old epoch was taken by a host once it was back.
+    // After the stall no host accepted a health check that carries the old epoch.
     let taken = cluster
         .probes(0)
         .into_iter()
@@ -239,7 +243,7 @@
     assert_leases_hold(&cluster, from);
 }
 
-/// The former holder's last health check is still on its way to the host when the majority has taken the lease over.
+/// A health check of the former holder arrives at the host only after the majority has taken the lease over.
 #[test]
 fn late_health_check_of_the_former_holder_is_refused_for_its_token_in_a_partition() {
     let cluster = started(4, 28);
@@ -247,7 +251,7 @@
     let from = cluster.clock.now();
     let hosts: Vec<_> = cluster.hosts.iter().filter(|h| h.set == 0).collect();
     hosts.iter().for_each(|h| h.cut(holder, true));
-    // What it sends now stands in the network.
+    // The health checks that the holder sends now are delayed until the link is restored.
     std::thread::sleep(Duration::from_millis(400));
     let others: Vec<usize> = (0..4).filter(|&g| g != holder).collect();
     cluster.partition(&[holder], &others);
@@ -268,7 +272,8 @@
     assert_leases_hold(&cluster, from);
 }
 
-/// In a minority partition a gateway serves clients and checks hosts by itself, as it would without the others.
+/// A gateway in a minority partition serves clients and runs its own health checks without a lease, as it would if
+/// it were alone.
 #[test]
 fn minority_partition_serves_clients_and_checks_hosts_by_itself() {
     let cluster = started(5, 29);
@@ -283,7 +288,8 @@
             .iter()
             .any(|p| p.at > since && p.gateway == g && p.token.is_none())
     };
-    // The other gateway notices first, and checks hosts for both. The holder learns that when it resumes, and stands by.
+    // While the holder is stalled, the other gateway detects the partition and checks hosts for both. When the holder
+    // resumes, it learns this and gives its leases up.
     cluster.stall(holder);
     wait("no majority at the other gateway", || {
         cluster.call(other, "members").contains("majority=false")
@@ -312,7 +318,7 @@
             Ok(true)
         );
     }
-    // The results of gateways that are believed down are ignored, and each such datagram is counted.
+    // A gateway ignores health-check results from gateways that it believes to be down, and counts each such datagram.
     let ignored_datagrams = |g: usize| {
         let before = cluster.clock.now();
         cluster.signal(g, "-USR1");
@@ -331,7 +337,8 @@
     };
     let observer = majority[0];
     assert_eq!(ignored_datagrams(observer), 0);
-    // One direction only: the minority is heard again and hears nothing, so it is still believed down.
+    // Restores only the direction from the minority to the majority: the minority still receives nothing, so the
+    // majority still believes it to be down.
     {
         let mut network = cluster.relay.network();
         network.cuts.retain(|&(from, _)| majority.contains(&from));
@@ -372,7 +379,7 @@
     )
 }
 
-/// Times at which the primary of set 1 applied a key.
+/// Returns how often the primary of set 1 applied the write with this key.
 fn applied(cluster: &Cluster, key: &str) -> usize {
     let host = cluster
         .hosts
@@ -383,7 +390,7 @@
     seen.applied.get(key).map_or(0, Vec::len)
 }
 
-/// Sends a write to a gateway that is killed once the host has it and before the host answers.
+/// Sends a write to a gateway, and kills the gateway after the host has received the write and before the host answers.
 fn in_flight(cluster: &mut Cluster, gateway: usize, key: &str) {
     let host = cluster
         .hosts
@@ -422,18 +429,20 @@
 fn write_whose_gateway_died_is_applied_once_when_its_client_sends_it_to_another() {
     let mut cluster = started(4, 25);
     in_flight(&mut cluster, 2, "aa01");
-    // Within the window: sent again, discarded by the host, and answered.
+    // Within the deduplication window the other gateway forwards the write; the host discards it and answers it.
     let answer = ask(&cluster, 0, &write("a2", "aa01", true));
     assert_eq!(answer, Ok("aa01".to_string()));
     assert_eq!(applied(&cluster, "aa01"), 1);
-    // Beyond the window nobody sends it any more, whichever gateway is asked, and the answer says so.
+    // After the window no gateway forwards the write any more, because the host would apply it again; the client gets
+    // an error.
     std::thread::sleep(Duration::from_millis(1_500));
     for (n, gateway) in [0, 1, 3].into_iter().enumerate() {
         let answer = ask(&cluster, gateway, &write(&format!("b{n}"), "aa01", true));
         assert_eq!(answer, Err("XX000".to_string()), "gateway {gateway}");
     }
     assert_eq!(applied(&cluster, "aa01"), 1);
-    // One that was never sent is a write like any other, marked or not, once those asked have run long enough to know.
+    // A write that no gateway has sent before is forwarded, whether it is marked as a repeat or not, as soon as the
+    // gateways have run long enough to know that none has sent it.
     wait("all know", || cluster.clock.now() > 15_000);
     assert_eq!(
         ask(&cluster, 1, &write("c1", "aa02", true)),
@@ -454,7 +463,7 @@
     let mut cluster = started(4, 26);
     in_flight(&mut cluster, 1, "bb01");
     std::thread::sleep(Duration::from_millis(1_500));
-    // Cut off from all that could know.
+    // Gateway 0 cannot reach the gateways that could confirm whether the write was sent.
     cluster.partition(&[0], &[2, 3]);
     assert_eq!(
         ask(&cluster, 0, &write("d1", "bb01", true)),
