--- a/crates/testbed/src/cluster/counters.rs
+++ b/crates/testbed/src/cluster/counters.rs
@@ -11,12 +11,12 @@
     /// [`PATIENCE`].
     #[must_use]
     pub fn counters(&self, gateway: usize) -> Option<BTreeMap<String, u64>> {
-        let seen = self.history.look(<[_]>::len);
+        let lines_before = self.history.look(<[_]>::len);
         self.signal(gateway, "-USR1");
         self.history.wait(PATIENCE, |lines| {
             let new = lines
                 .iter()
-                .skip(seen)
+                .skip(lines_before)
                 .filter(|line| line.gateway == gateway);
             let printed = new.filter_map(|line| line.text.split_once(COUNTERS_LINE));
             printed.map(|(_, counters)| parse(counters)).next()
--- a/crates/testbed/src/cluster/gateway_config.rs
+++ b/crates/testbed/src/cluster/gateway_config.rs
@@ -37,8 +37,8 @@
 
     /// The addresses at which a gateway reaches each gateway of the fleet.
     fn peer_addresses(&self, gateway: usize) -> Vec<String> {
-        let known = self.relay.known[gateway].iter();
-        let mut addresses: Vec<String> = known
+        let relay_addresses = self.relay.peer_addresses[gateway].iter();
+        let mut addresses: Vec<String> = relay_addresses
             .copied()
             .chain(
                 self.checking_gateway
--- a/crates/testbed/src/cluster/leases.rs
+++ b/crates/testbed/src/cluster/leases.rs
@@ -8,7 +8,7 @@
 //! - the epochs that a host accepted never decrease;
 //! - no task is without an accepted health check for longer than the bound.
 
-use super::stand_ins::host::Probe;
+use super::stand_ins::host::HealthCheck;
 use super::Cluster;
 use irisrouter_cluster_types::Milliseconds;
 use irisrouter_leases::Settings;
@@ -119,32 +119,37 @@
 impl Cluster {
     /// The health checks that a set's hosts received, in order of time.
     #[must_use]
-    pub fn probes(&self, set: u64) -> Vec<Probe> {
+    pub fn health_checks(&self, set: u64) -> Vec<HealthCheck> {
         let hosts = self.hosts.iter().filter(|host| host.set == set);
-        let mut probes: Vec<Probe> = hosts.flat_map(|host| host.seen().probes.clone()).collect();
-        probes.sort_by_key(|probe| probe.at);
-        probes
+        let mut health_checks: Vec<HealthCheck> = hosts
+            .flat_map(|host| host.seen().health_checks.clone())
+            .collect();
+        health_checks.sort_by_key(|health_check| health_check.at);
+        health_checks
     }
 
     /// The gateway that sent the set's last health check that carried a token and was accepted by a host; `None` if
     /// that was more than `within_ms` milliseconds ago.
     #[must_use]
-    pub fn prober(&self, set: u64, within_ms: u64) -> Option<usize> {
+    pub fn recent_health_checker(&self, set: u64, within_ms: u64) -> Option<usize> {
         let since = self.clock.now().saturating_sub(within_ms);
-        let probes = self.probes(set);
-        let last = probes.iter().rev().find(|probe| is_accepted(probe))?;
+        let health_checks = self.health_checks(set);
+        let last = health_checks
+            .iter()
+            .rev()
+            .find(|health_check| is_accepted(health_check))?;
         (last.at >= since).then_some(last.gateway)
     }
 
     /// Whether each set has had an accepted health check with a token within the last `within_ms` milliseconds.
     #[must_use]
     pub fn every_set_has_holder(&self, within_ms: u64) -> bool {
-        (0..self.plan.sets).all(|set| self.prober(set, within_ms).is_some())
+        (0..self.plan.sets).all(|set| self.recent_health_checker(set, within_ms).is_some())
     }
 
     /// The first running gateway whose console reports that it holds the lease on a set.
     #[must_use]
-    pub fn owner(&self, set: u64) -> Option<usize> {
+    pub fn reported_lease_holder(&self, set: u64) -> Option<usize> {
         let entry = format!("{set}:");
         let reports_lease = |gateway: &usize| {
             let answer = self.call(*gateway, "duties");
@@ -155,8 +160,8 @@
 }
 
 /// Returns whether a health check carried a token and was accepted by the host.
-pub(super) fn is_accepted(probe: &Probe) -> bool {
-    !probe.refused && probe.token.is_some()
+pub(super) fn is_accepted(health_check: &HealthCheck) -> bool {
+    !health_check.refused && health_check.token.is_some()
 }
 
 /// Checks what the hosts of every set recorded.
@@ -175,26 +180,26 @@
     let mut holders: BTreeMap<u64, usize> = BTreeMap::new();
     for host in cluster.hosts.iter().filter(|host| host.set == set) {
         let mut latest = 0;
-        for probe in &host.seen().probes {
-            let Some((_, epoch)) = probe.token else {
+        for health_check in &host.seen().health_checks {
+            let Some((_, epoch)) = health_check.token else {
                 continue;
             };
-            let holder = *holders.entry(epoch).or_insert(probe.gateway);
-            if holder != probe.gateway {
+            let holder = *holders.entry(epoch).or_insert(health_check.gateway);
+            if holder != health_check.gateway {
                 findings.violations.push(LeaseViolation::SharedEpoch {
                     set,
                     epoch,
-                    gateways: [holder, probe.gateway],
+                    gateways: [holder, health_check.gateway],
                 });
             }
-            if probe.refused {
+            if health_check.refused {
                 findings.refused_health_checks += 1;
             } else if epoch < latest {
                 findings
                     .violations
                     .push(LeaseViolation::OlderEpochAccepted {
                         set,
-                        at: probe.at,
+                        at: health_check.at,
                         epoch,
                         latest,
                     });
@@ -213,23 +218,23 @@
     let bound = settings.takeover_bound().0 + SLACK_MS;
     let mut last_at = bounds.from;
     let mut last_holder = None;
-    for probe in cluster.probes(set).iter().filter(|p| is_accepted(p)) {
-        if !(bounds.from..=bounds.until).contains(&probe.at) {
+    for health_check in cluster.health_checks(set).iter().filter(|p| is_accepted(p)) {
+        if !(bounds.from..=bounds.until).contains(&health_check.at) {
             continue;
         }
-        let gap_ms = probe.at - last_at;
+        let gap_ms = health_check.at - last_at;
         if gap_ms > bound {
             findings.violations.push(LeaseViolation::Gap {
                 set,
                 gap_ms,
-                ended_at: probe.at,
+                ended_at: health_check.at,
             });
         }
-        if last_holder.is_some_and(|holder| holder != probe.gateway) {
+        if last_holder.is_some_and(|holder| holder != health_check.gateway) {
             findings.takeover_gaps_ms.push(gap_ms);
         }
-        last_at = probe.at;
-        last_holder = Some(probe.gateway);
+        last_at = health_check.at;
+        last_holder = Some(health_check.gateway);
     }
     if bounds.until.saturating_sub(last_at) > bound {
         let since = last_at;
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -78,24 +78,26 @@
             if let Some(result) = inspect(&lines) {
                 return Some(result);
             }
-            let left = deadline.checked_duration_since(Instant::now())?;
-            let woken = self.0.line_added.wait_timeout(lines, left);
+            let remaining = deadline.checked_duration_since(Instant::now())?;
+            let woken = self.0.line_added.wait_timeout(lines, remaining);
             lines = woken.unwrap_or_else(PoisonError::into_inner).0;
         }
     }
 }
 
 /// Ids of the processes that this program started and has not waited for yet.
-static STARTED: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
+static STARTED_PROCESSES: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-fn started() -> MutexGuard<'static, BTreeSet<u32>> {
-    STARTED.lock().unwrap_or_else(PoisonError::into_inner)
+fn started_processes() -> MutexGuard<'static, BTreeSet<u32>> {
+    STARTED_PROCESSES
+        .lock()
+        .unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Kills every gateway that this program started. A program calls it when a signal ends it, because the threads that
 /// own the gateways are then not unwound: otherwise the gateways would outlive the run and load the machine for ever.
 pub fn end_all() {
-    for process_id in started().iter() {
+    for process_id in started_processes().iter() {
         let _ = Command::new("kill")
             .args(["-KILL", &process_id.to_string()])
             .status();
@@ -135,7 +137,7 @@
 
 /// Environment variables that would override the configuration file, so they are removed from the gateway's
 /// environment.
-const OVERRIDES: [&str; 5] = [
+const OVERRIDING_VARIABLES: [&str; 5] = [
     "BALANCER_LISTEN",
     "BALANCER_DISCOVERY",
     "BALANCER_CONSOLE",
@@ -156,7 +158,7 @@
             program: launch.program.to_path_buf(),
             source,
         })?;
-        started().insert(child.id());
+        started_processes().insert(child.id());
         let Some(log) = child.stderr.take() else {
             return Err(ClusterError::NoLog);
         };
@@ -171,7 +173,7 @@
             None => {
                 let _ = child.kill();
                 let _ = child.wait();
-                started().remove(&child.id());
+                started_processes().remove(&child.id());
                 Err(ClusterError::NotListening {
                     gateway: launch.id.gateway,
                     log: launch.logged(),
@@ -214,7 +216,7 @@
     /// Waits until the process has exited and returns its exit code; `None` if a signal ended it.
     pub fn wait_for_exit(mut self) -> Option<i32> {
         let code = self.child.wait().ok().and_then(|status| status.code());
-        started().remove(&self.child.id());
+        started_processes().remove(&self.child.id());
         self.end();
         code
     }
@@ -222,7 +224,7 @@
     fn end(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        started().remove(&self.child.id());
+        started_processes().remove(&self.child.id());
         let _ = std::fs::remove_file(&self.config);
     }
 }
@@ -248,7 +250,7 @@
 
     fn command(&self, config: &Path) -> Command {
         let mut command = Command::new(self.program);
-        for name in OVERRIDES {
+        for name in OVERRIDING_VARIABLES {
             command.env_remove(name);
         }
         command.env("BALANCER_CONFIG", config);
@@ -280,9 +282,10 @@
 
     /// Waits until the process has logged both addresses; `None` if it has not within [`READY_TIMEOUT`].
     fn wait_for_addresses(&self) -> Option<Addresses> {
-        let logged_after = |lines: &[Line], words: &str| {
-            let own = lines.iter().filter(|line| line.is_of(self.id));
-            own.filter_map(|line| line.text.rsplit_once(words)?.1.trim().parse().ok())
+        let logged_after = |lines: &[Line], prefix: &str| {
+            let lines_of_process = lines.iter().filter(|line| line.is_of(self.id));
+            lines_of_process
+                .filter_map(|line| line.text.rsplit_once(prefix)?.1.trim().parse().ok())
                 .next()
         };
         self.history.wait(READY_TIMEOUT, |lines| {
@@ -296,8 +299,10 @@
     /// The lines that the process has logged, each indented and followed by a line break.
     fn logged(&self) -> String {
         self.history.look(|lines| {
-            let own = lines.iter().filter(|line| line.is_of(self.id));
-            own.map(|line| format!("  {}\n", line.text)).collect()
+            let lines_of_process = lines.iter().filter(|line| line.is_of(self.id));
+            lines_of_process
+                .map(|line| format!("  {}\n", line.text))
+                .collect()
         })
     }
 }
--- a/crates/testbed/src/cluster/processor.rs
+++ b/crates/testbed/src/cluster/processor.rs
@@ -10,10 +10,10 @@
 /// Time between two checks of a process whose share is limited.
 const SHARE_CHECK_INTERVAL: Duration = Duration::from_millis(1);
 /// Processor time by which a process may exceed its share before it is stopped.
-const MAX_AHEAD: Duration = Duration::from_millis(2);
+const MAX_EXCESS: Duration = Duration::from_millis(2);
 /// Maximum unused processor time that an idle process accumulates; all of it is forfeited when it exceeds this, so
 /// that no long burst follows.
-const MAX_SAVED: Duration = Duration::from_millis(10);
+const MAX_UNUSED: Duration = Duration::from_millis(10);
 
 /// The resource usage of a process since its start.
 #[derive(Clone, Copy, Debug)]
@@ -102,13 +102,13 @@
     fn enforce(&mut self) -> Option<()> {
         let used = processor_time(self.process_id)?.saturating_sub(self.used_before);
         let allowed = self.since.elapsed().mul_f64(self.share);
-        if used > allowed + MAX_AHEAD {
+        if used > allowed + MAX_EXCESS {
             self.signal(Signal::STOP)?;
             sleep((used - allowed).div_f64(self.share));
             self.signal(Signal::CONT)?;
             return Some(());
         }
-        if used + MAX_SAVED < allowed {
+        if used + MAX_UNUSED < allowed {
             self.since = Instant::now();
             self.used_before += used;
         }
--- a/crates/testbed/src/cluster/relay.rs
+++ b/crates/testbed/src/cluster/relay.rs
@@ -46,7 +46,7 @@
 
 impl Network {
     /// Counts a datagram from one gateway to another, and returns whether it is dropped.
-    fn drops(&mut self, from: usize, to: usize, length: usize) -> bool {
+    fn count_and_decide_drop(&mut self, from: usize, to: usize, length: usize) -> bool {
         if let Some(sent) = self.sent.get_mut(from) {
             sent.datagrams += 1;
             sent.bytes += length as u64;
@@ -62,7 +62,7 @@
     /// Where each gateway listens.
     pub listen: Vec<SocketAddr>,
     /// By gateway: the addresses at which it reaches each gateway, its own included.
-    pub known: Vec<Vec<SocketAddr>>,
+    pub peer_addresses: Vec<Vec<SocketAddr>>,
     /// By gateway: the address that reaches all others at once.
     pub broadcast: Vec<SocketAddr>,
     network: Arc<Mutex<Network>>,
@@ -87,8 +87,8 @@
         };
         for _ in 0..gateways {
             // Reserves a port for the gateway; it is free again once this socket is dropped.
-            let own = bind_datagram_socket(GATEWAY_PEER_ADDRESS).await?;
-            sockets.listen.push(datagram_address(&own)?);
+            let reserved = bind_datagram_socket(GATEWAY_PEER_ADDRESS).await?;
+            sockets.listen.push(datagram_address(&reserved)?);
             let mut receivers = Vec::new();
             for _ in 0..gateways {
                 receivers.push(Arc::new(bind_datagram_socket(STAND_IN_ADDRESS).await?));
@@ -101,7 +101,7 @@
     }
 
     /// The addresses at which gateway `sender` reaches each gateway.
-    fn known_to(&self, sender: usize) -> Result<Vec<SocketAddr>, SocketError> {
+    fn peer_addresses_of(&self, sender: usize) -> Result<Vec<SocketAddr>, SocketError> {
         let sockets = self.pairs[sender].iter().enumerate();
         sockets
             .map(|(receiver, socket)| {
@@ -124,24 +124,24 @@
     }
 
     /// Starts a task for each socket to which gateway `sender` sends.
-    fn spawn_carriers(&self, sender: usize, network: &Arc<Mutex<Network>>) {
-        let carry = |socket: &Arc<UdpSocket>, targets: Vec<Target>| {
-            let carrier = Carrier {
+    fn spawn_forwarders(&self, sender: usize, network: &Arc<Mutex<Network>>) {
+        let spawn_forwarder = |socket: &Arc<UdpSocket>, targets: Vec<Target>| {
+            let forwarder = Forwarder {
                 sender,
                 sender_address: self.listen[sender],
                 socket: Arc::clone(socket),
                 targets,
                 network: Arc::clone(network),
             };
-            tokio::spawn(carrier.run());
+            tokio::spawn(forwarder.run());
         };
         let receivers = (0..self.listen.len()).filter(|&receiver| receiver != sender);
         for receiver in receivers.clone() {
             let target = self.target(sender, receiver);
-            carry(&self.pairs[sender][receiver], vec![target]);
+            spawn_forwarder(&self.pairs[sender][receiver], vec![target]);
         }
         let targets = receivers.map(|receiver| self.target(sender, receiver));
-        carry(&self.broadcast[sender], targets.collect());
+        spawn_forwarder(&self.broadcast[sender], targets.collect());
     }
 }
 
@@ -160,18 +160,18 @@
             rng: Rng::new(seed, Stream::Network),
         }));
         let sockets = Sockets::bind(gateways).await?;
-        let known = (0..gateways)
-            .map(|sender| sockets.known_to(sender))
+        let peer_addresses = (0..gateways)
+            .map(|sender| sockets.peer_addresses_of(sender))
             .collect::<Result<_, _>>()?;
         let broadcast = (sockets.broadcast.iter())
             .map(|socket| datagram_address(socket))
             .collect::<Result<_, _>>()?;
         for sender in 0..gateways {
-            sockets.spawn_carriers(sender, &network);
+            sockets.spawn_forwarders(sender, &network);
         }
         Ok(Relay {
             listen: sockets.listen,
-            known,
+            peer_addresses,
             broadcast,
             network,
         })
@@ -197,7 +197,7 @@
 }
 
 /// Forwards the datagrams that a gateway sends to one socket to each target.
-struct Carrier {
+struct Forwarder {
     sender: usize,
     sender_address: SocketAddr,
     socket: Arc<UdpSocket>,
@@ -205,7 +205,7 @@
     network: Arc<Mutex<Network>>,
 }
 
-impl Carrier {
+impl Forwarder {
     async fn run(self) {
         let mut buffer = [0; BUFFER_BYTES];
         loop {
@@ -219,15 +219,16 @@
                 continue;
             }
             for target in &self.targets {
-                self.pass_on(&buffer[..length], target).await;
+                self.forward(&buffer[..length], target).await;
             }
         }
     }
 
-    async fn pass_on(&self, datagram: &[u8], target: &Target) {
+    async fn forward(&self, datagram: &[u8], target: &Target) {
         let (dropped, delay) = {
             let mut network = lock(&self.network);
-            let dropped = network.drops(self.sender, target.gateway, datagram.len());
+            let dropped =
+                network.count_and_decide_drop(self.sender, target.gateway, datagram.len());
             (dropped, network.delay)
         };
         if dropped {
--- a/crates/testbed/src/cluster/schedule/injection.rs
+++ b/crates/testbed/src/cluster/schedule/injection.rs
@@ -19,7 +19,7 @@
     /// The observers that must declare a gateway down.
     expected: Vec<Observation>,
     /// Sets whose health checks the crashed gateway ran.
-    orphaned_sets: Vec<u64>,
+    sets_of_crashed_holder: Vec<u64>,
     /// Time from the end of the injection until the effects are checked.
     duration: Duration,
 }
@@ -45,7 +45,7 @@
         verdict.detection_ms.push(as_ms(started.elapsed()));
     }
     if let Fault::Crash { gateway, .. } = fault {
-        let takeovers = takeover_times(cluster, &injected.orphaned_sets, *gateway, from);
+        let takeovers = takeover_times(cluster, &injected.sets_of_crashed_holder, *gateway, from);
         verdict.takeover_ms.extend(takeovers);
     }
     let wrong = wrongly_declared_down(cluster, &running, expected, from);
@@ -70,8 +70,10 @@
     let mut injected = Injected::default();
     match fault {
         Fault::Crash { gateway, .. } => {
-            injected.orphaned_sets = (0..cluster.plan.sets)
-                .filter(|&set| cluster.prober(set, HOLDER_SEEN_WITHIN_MS) == Some(*gateway))
+            injected.sets_of_crashed_holder = (0..cluster.plan.sets)
+                .filter(|&set| {
+                    cluster.recent_health_checker(set, HOLDER_SEEN_WITHIN_MS) == Some(*gateway)
+                })
                 .collect();
             cluster.crash(*gateway);
             let others = running.iter().filter(|other| *other != gateway);
@@ -85,7 +87,7 @@
             let is_right = |gateway: &usize| !left.contains(gateway);
             let right: Vec<usize> = running.iter().copied().filter(is_right).collect();
             cluster.partition(left, &right);
-            injected.expected = across(left, &right);
+            injected.expected = mutual_observations(left, &right);
         }
         Fault::Stall { gateway, ms } => {
             cluster.stall(*gateway);
@@ -110,7 +112,7 @@
 }
 
 /// The observations that two sides must make if neither receives the other's datagrams.
-fn across(left: &[usize], right: &[usize]) -> Vec<Observation> {
+fn mutual_observations(left: &[usize], right: &[usize]) -> Vec<Observation> {
     let mut observations = Vec::new();
     for &a in left {
         for &b in right {
@@ -123,7 +125,7 @@
 }
 
 /// Returns whether the observer has declared the member down since `from`, in milliseconds since the start of the run.
-fn is_made(cluster: &Cluster, observation: Observation, from: u64) -> bool {
+fn has_been_made(cluster: &Cluster, observation: Observation, from: u64) -> bool {
     let Observation { observer, member } = observation;
     let changes = cluster.changes(observer, member, "down");
     changes.iter().any(|&at| at >= from)
@@ -132,7 +134,7 @@
 /// The expected observations that have not been made since `from`.
 fn undetected(cluster: &Cluster, expected: &[Observation], from: u64) -> Vec<Observation> {
     let mut missing = expected.to_vec();
-    missing.retain(|&observation| !is_made(cluster, observation, from));
+    missing.retain(|&observation| !has_been_made(cluster, observation, from));
     missing
 }
 
@@ -151,7 +153,7 @@
         .iter()
         .flat_map(|&observer| members(observer))
         .filter(|observation| !expected.contains(observation))
-        .filter(|&observation| is_made(cluster, observation, from))
+        .filter(|&observation| has_been_made(cluster, observation, from))
         .collect()
 }
 
@@ -160,7 +162,7 @@
 fn takeover_times(cluster: &Cluster, sets: &[u64], crashed: usize, from: u64) -> Vec<u64> {
     let mut times = Vec::new();
     for &set in sets {
-        let health_checks = cluster.probes(set);
+        let health_checks = cluster.health_checks(set);
         let by_another = health_checks
             .iter()
             .find(|check| check.at >= from && check.gateway != crashed && is_accepted(check));
--- a/crates/testbed/src/cluster/schedule/mod.rs
+++ b/crates/testbed/src/cluster/schedule/mod.rs
@@ -185,9 +185,9 @@
             source,
         });
     }
-    let over = Instant::now();
+    let ended = Instant::now();
     if cluster.settle(bounds.healing).is_some() {
-        verdict.healing_ms.push(as_ms(over.elapsed()));
+        verdict.healing_ms.push(as_ms(ended.elapsed()));
         return;
     }
     let running = cluster.running().into_iter();
--- a/crates/testbed/src/cluster/site_loss.rs
+++ b/crates/testbed/src/cluster/site_loss.rs
@@ -23,9 +23,9 @@
 /// Full capacity of a host, in requests per second.
 const CAPACITY_PER_S: f64 = 60.0;
 /// Share of its full capacity with which a host starts after its return.
-const COLD_SHARE: f64 = 0.15;
+const INITIAL_SHARE: f64 = 0.15;
 /// Time from the return of a host until it has its full capacity.
-const WARM_UP: Duration = Duration::from_secs(10);
+const SLOW_START: Duration = Duration::from_secs(10);
 
 /// Durations of the parts of the run before the loss, from the loss to the return, and after the return, in
 /// milliseconds.
@@ -37,9 +37,9 @@
 const BASELINE_MS: u64 = 3_000;
 /// Time from the loss until the measurement of service during the loss starts, in milliseconds, because the gateways
 /// need time to react.
-const REACTION_MS: u64 = 2_000;
+const REACTION_TIME_MS: u64 = 2_000;
 /// Service has recovered when the share of requests served in a window is at least this part of the baseline share.
-const RECOVERED: f64 = 0.95;
+const RECOVERED_SHARE: f64 = 0.95;
 /// Length of that window and the step by which it moves, in milliseconds.
 const WINDOW_MS: u64 = 1_000;
 const WINDOW_STEP_MS: usize = 100;
@@ -148,8 +148,8 @@
     let enabled = plans == FailoverPlans::On;
     let sites = format!(
         "sites: {{ enabled: {enabled}, capacity_per_s: {CAPACITY_PER_S}, refuse: ['{PAGE_READ}', '{REPORT}'], \
-         lost_after_ms: 500, back_after_ms: 500, ramp_from: {COLD_SHARE}, ramp_ms: {} }}, ",
-        WARM_UP.as_millis()
+         lost_after_ms: 500, back_after_ms: 500, ramp_from: {INITIAL_SHARE}, ramp_ms: {} }}, ",
+        SLOW_START.as_millis()
     );
     pace.operators()
         .replace("{ membership", &format!("{{ {sites}membership"))
@@ -177,7 +177,7 @@
         sleep(LOSS_MS);
         let back_at = cluster.clock.now();
         for host in &lost {
-            host.restart_cold(COLD_SHARE, WARM_UP);
+            host.restart_in_slow_start(INITIAL_SHARE, SLOW_START);
             gateways
                 .iter()
                 .for_each(|&gateway| host.cut(gateway, false));
@@ -195,7 +195,7 @@
     };
     let served_share =
         |from: u64, to: u64| served(from, to) / load.outcomes_between(from, to).len().max(1) as f64;
-    let during = load.outcomes_between(lost_at + REACTION_MS, back_at);
+    let during = load.outcomes_between(lost_at + REACTION_TIME_MS, back_at);
     let class_share = |class: &str| {
         let sent = during.iter().filter(|outcome| outcome.class == class);
         let served = sent.clone().filter(|outcome| outcome.is_served()).count();
@@ -206,16 +206,16 @@
         .step_by(WINDOW_STEP_MS)
         .find(|after| {
             let from = back_at + after;
-            served_share(from, from + WINDOW_MS) >= RECOVERED * baseline
+            served_share(from, from + WINDOW_MS) >= RECOVERED_SHARE * baseline
         })
         .unwrap_or(AFTER_MS);
     let lost = lost_hosts(cluster);
     let remaining_capacity = CAPACITY_PER_S * (cluster.hosts.len() - lost.len()) as f64;
-    let during_s = (back_at - lost_at - REACTION_MS) as f64 / 1e3;
+    let during_s = (back_at - lost_at - REACTION_TIME_MS) as f64 / 1e3;
     let peaks = lost.iter().map(|host| peak_load(host, back_at));
     SiteLossResults {
         served_per_s_before: served(lost_at - BASELINE_MS, lost_at) / (BASELINE_MS as f64 / 1e3),
-        share_of_remaining_capacity: served(lost_at + REACTION_MS, back_at)
+        share_of_remaining_capacity: served(lost_at + REACTION_TIME_MS, back_at)
             / during_s
             / remaining_capacity,
         reports_served: class_share(REPORT),
@@ -240,8 +240,8 @@
         .map(|after| {
             let window = back_at + after..back_at + after + WINDOW_MS;
             let sent = times.iter().filter(|at| window.contains(at)).count() as f64;
-            let warm = (after + WINDOW_MS / 2) as f64 / WARM_UP.as_millis() as f64;
-            sent / (CAPACITY_PER_S * (COLD_SHARE + (1.0 - COLD_SHARE) * warm.min(1.0)))
+            let progress = (after + WINDOW_MS / 2) as f64 / SLOW_START.as_millis() as f64;
+            sent / (CAPACITY_PER_S * (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * progress.min(1.0)))
         })
         .fold(0.0, f64::max)
 }
--- a/crates/testbed/src/cluster/stand_ins/discovery.rs
+++ b/crates/testbed/src/cluster/stand_ins/discovery.rs
@@ -165,7 +165,8 @@
                 continue;
             }
             if let (Some(from), true) = (request.from, request.is_long_poll()) {
-                self.hold(gateway, from, request.hold, &mut stream).await?;
+                self.wait_for_later_revision(gateway, from, request.hold, &mut stream)
+                    .await?;
             }
             // Building a long list takes a while, and would block the stand-in hosts, which run on this thread.
             let service = Arc::clone(self);
@@ -198,7 +199,7 @@
     }
 
     /// Waits for a revision after `from`, for at most the duration `hold`; `None` if the caller disconnects first.
-    async fn hold(
+    async fn wait_for_later_revision(
         &self,
         gateway: usize,
         from: u64,
--- a/crates/testbed/src/cluster/stand_ins/host.rs
+++ b/crates/testbed/src/cluster/stand_ins/host.rs
@@ -21,7 +21,7 @@
 
 /// A health check that a host received.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Probe {
+pub struct HealthCheck {
     /// Time at which it was answered, in milliseconds since the start of the run.
     pub at: u64,
     /// The gateway that sent it.
@@ -34,21 +34,21 @@
 
 /// The record of what a host has received and applied.
 #[derive(Default)]
-pub struct Seen {
+pub struct HostRecord {
     /// By key of a write: the times at which it was applied, in milliseconds since the start of the run.
     pub applied: BTreeMap<String, Vec<u64>>,
     /// Statements other than health checks: time of arrival in milliseconds since the start of the run, the gateway,
     /// and the text.
     pub statements: Vec<(u64, usize, String)>,
     /// Health checks, in the order in which they were answered.
-    pub probes: Vec<Probe>,
+    pub health_checks: Vec<HealthCheck>,
     /// By task: the latest epoch that was seen in a fencing token.
     latest_tokens: BTreeMap<u64, u64>,
 }
 
-impl Seen {
+impl HostRecord {
     /// Records a fencing token of a task, and returns whether it is older than one that was seen before.
-    pub(super) fn is_outdated(&mut self, task: u64, epoch: u64) -> bool {
+    pub(super) fn records_outdated_token(&mut self, task: u64, epoch: u64) -> bool {
         let latest = self.latest_tokens.entry(task).or_insert(epoch);
         *latest = epoch.max(*latest);
         epoch < *latest
@@ -91,7 +91,7 @@
     pub(super) primary: bool,
     /// A write is discarded if its key was applied within this time before it, in milliseconds.
     pub(super) deduplication_window: u64,
-    pub(super) seen: Mutex<Seen>,
+    pub(super) seen: Mutex<HostRecord>,
     /// Gateways whose link to this host is cut.
     pub(super) cut_off: Mutex<BTreeSet<usize>>,
     /// The capacity; `None` if it is not limited.
@@ -116,19 +116,19 @@
     per_s: f64,
     /// Time at which all requests that are queued will be finished.
     free_at: Instant,
-    warm_up: Option<WarmUp>,
+    slow_start: Option<SlowStart>,
 }
 
 /// Slow start: the period after a restart in which a host's capacity grows linearly to its full capacity.
 #[derive(Clone, Copy)]
-struct WarmUp {
+struct SlowStart {
     started: Instant,
     /// Share of its full capacity at the start of the period, 0 to 1.
     initial_share: f64,
     duration: Duration,
 }
 
-impl WarmUp {
+impl SlowStart {
     /// The share of its full capacity that the host has at `now`, 0 to 1.
     fn share(&self, now: Instant) -> f64 {
         let elapsed = (now - self.started).as_secs_f64() / self.duration.as_secs_f64();
@@ -139,7 +139,9 @@
 impl Capacity {
     /// Adds a request to the queue, and returns the time until it is finished.
     pub(super) fn enqueue(&mut self, now: Instant) -> Duration {
-        let share = self.warm_up.map_or(1.0, |warm_up| warm_up.share(now));
+        let share = self
+            .slow_start
+            .map_or(1.0, |slow_start| slow_start.share(now));
         let service_time = Duration::from_secs_f64(1.0 / (self.per_s * share));
         self.free_at = self.free_at.max(now) + service_time;
         self.free_at - now
@@ -179,7 +181,7 @@
     }
 
     /// Locks the record of what the host has received and applied.
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
+    pub fn seen(&self) -> MutexGuard<'_, HostRecord> {
         lock(&self.shared.seen)
     }
 
@@ -206,17 +208,17 @@
         *lock(&self.shared.capacity) = Some(Capacity {
             per_s,
             free_at: Instant::now(),
-            warm_up: None,
+            slow_start: None,
         });
     }
 
     /// Simulates a restart: the host has this share of its capacity now, which grows linearly to the full capacity over
     /// `duration`. Requests queued before no longer delay new ones. Has no effect on a host without a limit.
-    pub fn restart_cold(&self, initial_share: f64, duration: Duration) {
+    pub fn restart_in_slow_start(&self, initial_share: f64, duration: Duration) {
         if let Some(capacity) = lock(&self.shared.capacity).as_mut() {
             let now = Instant::now();
             capacity.free_at = now;
-            capacity.warm_up = Some(WarmUp {
+            capacity.slow_start = Some(SlowStart {
                 started: now,
                 initial_share,
                 duration,
@@ -230,8 +232,8 @@
     }
 
     /// Records a fencing token of a task as seen though no gateway has sent it, so that the host refuses older ones.
-    pub fn saw(&self, task: u64, epoch: u64) {
-        self.seen().is_outdated(task, epoch);
+    pub fn record_token(&self, task: u64, epoch: u64) {
+        self.seen().records_outdated_token(task, epoch);
     }
 
     /// The host's entry in the endpoint list of a gateway.
--- a/crates/testbed/src/cluster/stand_ins/host_connection.rs
+++ b/crates/testbed/src/cluster/stand_ins/host_connection.rs
@@ -1,6 +1,6 @@
 //! Serves a gateway's connection to a stand-in host.
 
-use super::host::{Probe, SharedHost};
+use super::host::{HealthCheck, SharedHost};
 use super::{lock, protocol};
 use crate::loopback::host::comment_fields;
 use std::collections::HashMap;
@@ -102,8 +102,9 @@
         let token = number("duty").zip(number("epoch"));
         let refused = {
             let mut seen = lock(&self.seen);
-            let refused = token.is_some_and(|(task, epoch)| seen.is_outdated(task, epoch));
-            seen.probes.push(Probe {
+            let refused =
+                token.is_some_and(|(task, epoch)| seen.records_outdated_token(task, epoch));
+            seen.health_checks.push(HealthCheck {
                 at: now,
                 gateway,
                 token,
--- a/crates/testbed/src/cluster/timed_reads.rs
+++ b/crates/testbed/src/cluster/timed_reads.rs
@@ -38,7 +38,7 @@
     /// Number of reads without an answer: timed out, or ended by an error that is not from the server.
     pub unanswered: usize,
     /// Longest time from the deadline of a read to its end.
-    pub latest: Duration,
+    pub max_lateness: Duration,
 }
 
 impl ReadCounts {
@@ -46,7 +46,7 @@
         self.requests += other.requests;
         self.served += other.served;
         self.unanswered += other.unanswered;
-        self.latest = self.latest.max(other.latest);
+        self.max_lateness = self.max_lateness.max(other.max_lateness);
     }
 
     /// The share of reads that was served, 0 to 1.
@@ -112,7 +112,7 @@
         );
         let sent_at = Instant::now();
         let answer = timeout(ANSWER_TIMEOUT, connection.simple_query(&statement)).await;
-        let late = sent_at
+        let lateness = sent_at
             .elapsed()
             .saturating_sub(Duration::from_millis(deadline_ms));
         let answered = match &answer {
@@ -124,7 +124,7 @@
             requests: 1,
             served: usize::from(matches!(answer, Ok(Ok(_)))),
             unanswered: usize::from(!answered),
-            latest: late,
+            max_lateness: lateness,
         }
     }
 }
--- a/crates/testbed/src/cluster/views.rs
+++ b/crates/testbed/src/cluster/views.rs
@@ -74,7 +74,7 @@
 
     /// Returns whether all views agree: each running gateway believes exactly the running gateways to be alive.
     #[must_use]
-    pub fn one_view(&self) -> bool {
+    pub fn views_agree(&self) -> bool {
         let running = self.running();
         running.iter().all(|&observer| {
             let view = self.view(observer);
@@ -83,13 +83,13 @@
         })
     }
 
-    /// Waits until all views agree, see [`Cluster::one_view`], and returns how long that took; `None` if it took
+    /// Waits until all views agree, see [`Cluster::views_agree`], and returns how long that took; `None` if it took
     /// longer than `timeout`.
     #[must_use]
     pub fn settle(&self, timeout: Duration) -> Option<Duration> {
         let started = Instant::now();
         while started.elapsed() < timeout {
-            if self.one_view() {
+            if self.views_agree() {
                 return Some(started.elapsed());
             }
             std::thread::sleep(VIEW_POLL_INTERVAL);
--- a/crates/testbed/tests/cluster.rs
+++ b/crates/testbed/tests/cluster.rs
@@ -11,7 +11,7 @@
 use irisrouter_testbed::cluster::{Cluster, PATIENCE};
 use std::time::Duration;
 
-fn started(gateways: usize, seed: u64) -> Cluster {
+fn start_and_settle(gateways: usize, seed: u64) -> Cluster {
     let cluster = Cluster::start(plan(gateways, seed, Pace::FAST.operators())).expect("starts");
     cluster
         .settle(PATIENCE)
@@ -40,8 +40,8 @@
 
 #[test]
 fn gateway_stalled_for_two_seconds_is_suspected_and_not_declared_down() {
-    let cluster = started(5, 12);
-    let began = cluster.clock.now();
+    let cluster = start_and_settle(5, 12);
+    let started_at = cluster.clock.now();
     cluster.stall(2);
     std::thread::sleep(Duration::from_secs(2));
     cluster.resume(2);
@@ -50,20 +50,20 @@
     let by_any = |to| {
         others
             .iter()
-            .any(|&o| cluster_changes(&cluster, o, 2, to, began))
+            .any(|&o| has_logged_change(&cluster, o, 2, to, started_at))
     };
     assert!(by_any("suspect"), "no gateway suspected the stalled one");
     assert!(!by_any("down"), "a stalled gateway was declared down");
     // The stalled gateway received nothing during its stall, and must not declare the others down for that.
     for other in others {
         assert!(
-            !cluster_changes(&cluster, 2, other, "down", began),
+            !has_logged_change(&cluster, 2, other, "down", started_at),
             "it declared {other} down"
         );
     }
 }
 
-fn cluster_changes(
+fn has_logged_change(
     cluster: &Cluster,
     observer: usize,
     member: usize,
@@ -106,11 +106,14 @@
 
 #[test]
 fn sides_of_a_partition_declare_each_other_down_and_agree_after_it_heals() {
-    let cluster = started(5, 14);
+    let cluster = start_and_settle(5, 14);
     cluster.partition(&[0, 1, 2], &[3, 4]);
-    let held = |o: usize, side: &[usize]| side.iter().all(|&m| cluster.view(o)[m] == "down");
+    let declares_all_down =
+        |o: usize, side: &[usize]| side.iter().all(|&m| cluster.view(o)[m] == "down");
     let until = std::time::Instant::now() + PATIENCE;
-    while !((0..3).all(|o| held(o, &[3, 4])) && (3..5).all(|o| held(o, &[0, 1, 2]))) {
+    while !((0..3).all(|o| declares_all_down(o, &[3, 4]))
+        && (3..5).all(|o| declares_all_down(o, &[0, 1, 2])))
+    {
         assert!(
             std::time::Instant::now() < until,
             "the sides do not declare each other down"
@@ -130,16 +133,16 @@
 
 #[test]
 fn gateway_that_stops_on_request_is_declared_down_without_suspicion() {
-    let mut cluster = started(4, 15);
-    let began = cluster.clock.now();
+    let mut cluster = start_and_settle(4, 15);
+    let started_at = cluster.clock.now();
     assert_eq!(cluster.terminate(1), Some(0));
     cluster
         .settle(PATIENCE)
         .expect("the others declare it down");
     // A gateway that receives the announcement of the stop declares the member down without suspecting it first.
     assert!([0, 2, 3].iter().any(|&o| {
-        cluster_changes(&cluster, o, 1, "down", began)
-            && !cluster_changes(&cluster, o, 1, "suspect", began)
+        has_logged_change(&cluster, o, 1, "down", started_at)
+            && !has_logged_change(&cluster, o, 1, "suspect", started_at)
     }));
 }
 
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -49,30 +49,30 @@
 }
 
 /// Starts a cluster with leases on and three sets, and waits until each set has a lease holder.
-pub fn started(gateways: usize, seed: u64) -> Cluster {
+pub fn start_with_leases(gateways: usize, seed: u64) -> Cluster {
     let operators = Pace {
         lease_ms: Some(LEASE_MS),
         ..Pace::FAST
     }
     .operators();
-    started_with(Plan {
+    start_and_settle(Plan {
         sets: 3,
         ..plan(gateways, seed, operators)
     })
 }
 
-pub fn started_with(plan: Plan) -> Cluster {
+pub fn start_and_settle(plan: Plan) -> Cluster {
     let cluster = Cluster::start(plan).expect("starts");
     cluster
         .settle(PATIENCE)
         .expect("the fleet sees itself whole");
-    wait("every set has a holder of its lease", || {
-        (0..3).all(|set| cluster.prober(set, 300).is_some())
+    wait_until("every set has a holder of its lease", || {
+        (0..3).all(|set| cluster.recent_health_checker(set, 300).is_some())
     });
     cluster
 }
 
-pub fn wait(what: &str, mut until: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut until: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !until() {
         assert!(Instant::now() < end, "waited in vain: {what}");
@@ -82,22 +82,22 @@
 
 /// Sends one statement on a new connection. Returns the first value of the answer, or the error's SQLSTATE (`closed`
 /// if it has none).
-pub fn ask(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
+pub fn send_statement(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
     let at = cluster.process(gateway).expect("runs").address;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        let way = format!("host=127.0.0.1 port={} user=web dbname=orders", at.port());
-        let (client, connection) = tokio_postgres::connect(&way, tokio_postgres::NoTls)
+        let url = format!("host=127.0.0.1 port={} user=web dbname=orders", at.port());
+        let (client, connection) = tokio_postgres::connect(&url, tokio_postgres::NoTls)
             .await
             .map_err(|e| e.to_string())?;
-        let carried = tokio::spawn(connection);
-        let said = client.simple_query(text).await;
+        let connection_task = tokio::spawn(connection);
+        let result = client.simple_query(text).await;
         drop(client);
-        let _ = carried.await;
-        match said {
+        let _ = connection_task.await;
+        match result {
             Ok(rows) => Ok(rows
                 .iter()
                 .find_map(|m| match m {
--- a/crates/testbed/tests/drains.rs
+++ b/crates/testbed/tests/drains.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{ask, started, wait};
+use common::{send_statement, start_with_leases, wait_until};
 use irisrouter_cluster_types::GatewayId;
 use irisrouter_testbed::cluster::process::Line;
 use irisrouter_testbed::cluster::stand_ins::host::Host;
@@ -84,13 +84,13 @@
 
 #[test]
 fn drain_holds_at_every_gateway_until_the_host_is_put_back_in_service() {
-    let cluster = started(4, 31);
+    let cluster = start_with_leases(4, 31);
     let host = find_host(&cluster, "h1-1");
     // Puts a read in flight at the host: the first read opens a connection, then the link is cut.
-    assert!(ask(&cluster, 3, &read("a0")).is_ok());
+    assert!(send_statement(&cluster, 3, &read("a0")).is_ok());
     host.cut(3, true);
     std::thread::scope(|scope| {
-        let pending_read = scope.spawn(|| ask(&cluster, 3, &read("a1")));
+        let pending_read = scope.spawn(|| send_statement(&cluster, 3, &read("a1")));
         // By now the gateway has the read in flight at this host, or has already retried it at another one. That a
         // drain waits for a request in flight is tested in crates/drain-coordination/tests/fleet.rs.
         std::thread::sleep(Duration::from_millis(150));
@@ -99,23 +99,23 @@
             answer.starts_with("+OK h1-1 is to be out of service"),
             "{answer}"
         );
-        wait("a gateway coordinates the drain", || {
+        wait_until("a gateway coordinates the drain", || {
             coordinator(&cluster).is_some()
         });
         host.cut(3, false);
         let answer = pending_read.join().expect("the client does not panic");
         assert!(answer.is_ok());
     });
-    wait("the coordinator completes the drain", || {
+    wait_until("the coordinator completes the drain", || {
         logged_completions(&cluster, FOUND).len() == 1
     });
-    wait("the other gateways receive the completion", || {
+    wait_until("the other gateways receive the completion", || {
         logged_completions(&cluster, RECEIVED).len() == 3
     });
     // After the completion no gateway sends statements to the host.
     let drained_at = cluster.clock.now();
     for n in 0..24 {
-        assert!(ask(&cluster, n % 4, &read(&format!("b{n}"))).is_ok());
+        assert!(send_statement(&cluster, n % 4, &read(&format!("b{n}"))).is_ok());
     }
     assert_eq!(sent_statements(&cluster, "h1-1", drained_at), []);
     assert!(sent_statements(&cluster, "h1-0", drained_at).len() >= 24);
@@ -133,9 +133,9 @@
         answer.starts_with("+OK h1-1 is to be back in service"),
         "{answer}"
     );
-    wait("gateway 0 sends requests to the host again", || {
+    wait_until("gateway 0 sends requests to the host again", || {
         let n = cluster.clock.now();
-        assert!(ask(&cluster, 0, &read(&format!("c{n}"))).is_ok());
+        assert!(send_statement(&cluster, 0, &read(&format!("c{n}"))).is_ok());
         let sent = sent_statements(&cluster, "h1-1", drained_at);
         sent.iter().any(|statement| statement.gateway == 0)
     });
@@ -143,7 +143,7 @@
 
 #[test]
 fn drain_is_completed_once_by_the_next_coordinator_when_its_coordinator_is_killed() {
-    let mut cluster = started(5, 32);
+    let mut cluster = start_with_leases(5, 32);
     let first = {
         let host = irisrouter_gossip::message::host_id("h1-1");
         irisrouter_leases::rendezvous::candidates(
@@ -158,7 +158,7 @@
     cluster.stall(stalled);
     let answer = cluster.call(issuer, "drain h1-1");
     assert!(answer.starts_with("+OK"), "{answer}");
-    wait("the first candidate coordinates the drain", || {
+    wait_until("the first candidate coordinates the drain", || {
         coordinates_drain(&cluster, first)
     });
     assert_eq!(logged_completions(&cluster, "drained"), []);
@@ -167,11 +167,11 @@
         let mut others = cluster.running().into_iter().filter(|&g| g != stalled);
         others.find(|&gateway| coordinates_drain(&cluster, gateway))
     };
-    wait("another gateway coordinates the drain", || {
+    wait_until("another gateway coordinates the drain", || {
         next_coordinator().is_some()
     });
     cluster.resume(stalled);
-    wait("the other gateways receive the completion", || {
+    wait_until("the other gateways receive the completion", || {
         logged_completions(&cluster, RECEIVED).len() == 3
     });
     let found = logged_completions(&cluster, FOUND);
@@ -181,20 +181,20 @@
     assert_ne!(found[0].gateway, first);
     // The restarted gateway has no record of the drain and receives it from the others.
     cluster.launch(first).expect("the gateway starts again");
-    wait(
+    wait_until(
         "the gateway that started again receives the completion",
         || cluster.call(first, "drains").contains("h1-1:done"),
     );
     let drained_at = cluster.clock.now();
     for n in 0..20 {
-        assert!(ask(&cluster, n % 5, &read(&format!("d{n}"))).is_ok());
+        assert!(send_statement(&cluster, n % 5, &read(&format!("d{n}"))).is_ok());
     }
     assert_eq!(sent_statements(&cluster, "h1-1", drained_at), []);
 }
 
 #[test]
 fn drain_issued_at_a_minority_has_no_majority_and_reaches_every_gateway_after_the_partition() {
-    let cluster = started(5, 33);
+    let cluster = start_with_leases(5, 33);
     cluster.partition(&[0], &[1, 2, 3, 4]);
     let answer = cluster.call(0, "drain h1-1");
     assert!(
@@ -202,7 +202,7 @@
         "{answer}"
     );
     cluster.heal();
-    wait("every gateway logs that the host is drained", || {
+    wait_until("every gateway logs that the host is drained", || {
         logged_completions(&cluster, "h1-1").len() == 5
     });
     assert_eq!(logged_completions(&cluster, FOUND).len(), 1);
--- a/crates/testbed/tests/endpoint_watch.rs
+++ b/crates/testbed/tests/endpoint_watch.rs
@@ -5,11 +5,11 @@
 
 mod common;
 
-use common::{ask, plan, started_with, wait, LEASE_MS};
+use common::{plan, send_statement, start_and_settle, wait_until, LEASE_MS};
 use irisrouter_testbed::cluster::schedule::Pace;
 use irisrouter_testbed::cluster::{Cluster, EndpointListMode, GatewayLimits, Plan};
 
-fn started(gateways: usize, seed: u64) -> (Cluster, usize) {
+fn start_with_watcher(gateways: usize, seed: u64) -> (Cluster, usize) {
     let pace = Pace {
         lease_ms: Some(LEASE_MS),
         ..Pace::FAST
@@ -17,18 +17,18 @@
     let operators = pace
         .operators()
         .replace("takeover: { ", "takeover: { list_watch: true, ");
-    let cluster = started_with(Plan {
+    let cluster = start_and_settle(Plan {
         sets: 3,
         endpoint_list: EndpointListMode::Polled,
         deadline_percent: 100,
         limits: GatewayLimits::default(),
         ..plan(gateways, seed, operators)
     });
-    wait("one watcher", || {
+    wait_until("one watcher", || {
         cluster.discovery.long_polling().len() == 1 && watcher(&cluster).is_some()
     });
     let watcher = watcher(&cluster).expect("a holder of the lease");
-    wait("the holder of the lease has a long poll open", || {
+    wait_until("the holder of the lease has a long poll open", || {
         cluster.discovery.long_polling() == [watcher]
     });
     (cluster, watcher)
@@ -43,11 +43,11 @@
 }
 
 /// Sends twelve reads of set 1 through a gateway, and returns whether any of them reached the replica.
-fn reach(cluster: &Cluster, gateway: usize) -> bool {
+fn reads_reach_replica(cluster: &Cluster, gateway: usize) -> bool {
     let from = cluster.clock.now();
     for n in 0..12 {
         let text = "SELECT payload FROM entries WHERE ref = '7f3a'";
-        let said = ask(
+        let said = send_statement(
             cluster,
             gateway,
             &format!("{text} /* id={from:x}{n:x}{gateway},c=report,d=6000,cluster=1 */"),
@@ -67,11 +67,11 @@
 
 #[test]
 fn one_gateway_watches_for_all_and_another_takes_over_when_it_is_killed() {
-    let (mut cluster, first) = started(5, 41);
-    assert!(reach(&cluster, (first + 1) % 5));
+    let (mut cluster, first) = start_with_watcher(5, 41);
+    assert!(reads_reach_replica(&cluster, (first + 1) % 5));
     let before = cluster.clock.now();
     cluster.discovery.set_phase("h1-1", "terminating");
-    wait("all have the list", || {
+    wait_until("all have the list", || {
         (0..5).all(|g| {
             cluster
                 .discovery
@@ -80,8 +80,8 @@
                 .any(|c| c.gateway == g && c.at_ms >= before)
         })
     });
-    wait("no gateway sends there", || {
-        !(0..5).any(|g| reach(&cluster, g))
+    wait_until("no gateway sends there", || {
+        !(0..5).any(|g| reads_reach_replica(&cluster, g))
     });
     let calls = cluster.discovery.calls();
     let watched = calls
@@ -93,59 +93,64 @@
         "only the holder of the lease sends long polls: {calls:?}"
     );
     cluster.crash(first);
-    wait("another watcher", || {
+    wait_until("another watcher", || {
         cluster.discovery.long_polling().len() == 1 && watcher(&cluster).is_some()
     });
     let next = watcher(&cluster).expect("a holder of the lease");
     assert_ne!(next, first);
-    wait("it watches", || cluster.discovery.long_polling() == [next]);
+    wait_until("it watches", || cluster.discovery.long_polling() == [next]);
     cluster.discovery.set_phase("h1-1", "in_service");
-    wait("served again by all", || {
-        cluster.running().into_iter().all(|g| reach(&cluster, g))
+    wait_until("served again by all", || {
+        cluster
+            .running()
+            .into_iter()
+            .all(|g| reads_reach_replica(&cluster, g))
     });
     // After its restart the first candidate takes the watch back, and the other gateway stops its long poll.
     cluster.launch(first).expect("starts again");
-    wait("the first one again", || {
+    wait_until("the first one again", || {
         cluster.discovery.long_polling() == [first]
     });
 }
 
 #[test]
 fn gateways_refused_by_discovery_get_list_changes_from_the_watcher() {
-    let (cluster, first) = started(4, 42);
+    let (cluster, first) = start_with_watcher(4, 42);
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
-    assert!(others.iter().all(|&g| reach(&cluster, g)));
+    assert!(others.iter().all(|&g| reads_reach_replica(&cluster, g)));
     // Discovery refuses the others, so they cannot fetch the list themselves.
     others.iter().for_each(|&g| cluster.discovery.refuse(g));
     cluster.discovery.set_phase("h1-1", "terminating");
-    wait("no gateway sends there", || {
-        !(0..4).any(|g| reach(&cluster, g))
+    wait_until("no gateway sends there", || {
+        !(0..4).any(|g| reads_reach_replica(&cluster, g))
     });
     others
         .iter()
         .for_each(|&g| cluster.discovery.stop_refusing(g));
     cluster.discovery.set_phase("h1-1", "in_service");
-    wait("served again", || (0..4).all(|g| reach(&cluster, g)));
+    wait_until("served again", || {
+        (0..4).all(|g| reads_reach_replica(&cluster, g))
+    });
 }
 
 #[test]
 fn all_gateways_watch_for_themselves_while_discovery_refuses_the_watcher() {
-    let (cluster, first) = started(4, 43);
+    let (cluster, first) = start_with_watcher(4, 43);
     cluster.discovery.refuse(first);
     // A new revision ends the watcher's open long poll; its next call is refused.
     cluster.discovery.set_phase("h2-1", "terminating");
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
-    wait("the others watch", || {
+    wait_until("the others watch", || {
         others
             .iter()
             .all(|g| cluster.discovery.long_polling().contains(g))
     });
     cluster.discovery.set_phase("h1-1", "terminating");
-    wait("no gateway sends there", || {
-        !others.iter().any(|&g| reach(&cluster, g))
+    wait_until("no gateway sends there", || {
+        !others.iter().any(|&g| reads_reach_replica(&cluster, g))
     });
     cluster.discovery.stop_refusing(first);
-    wait("one watcher again", || {
+    wait_until("one watcher again", || {
         cluster.discovery.long_polling() == [first]
     });
 }
@@ -161,10 +166,10 @@
     let operators = pace
         .operators()
         .replace("takeover: { ", "takeover: { list_watch: true, ");
-    let cluster = started_with(Plan {
+    let cluster = start_and_settle(Plan {
         sets: 3,
         ..plan(3, 44, operators)
     });
-    wait("all watch", || cluster.discovery.long_polling().len() == 3);
+    wait_until("all watch", || cluster.discovery.long_polling().len() == 3);
     assert!((0..3).all(|g| !cluster.call(g, "duties").contains("list:")));
 }
--- a/crates/testbed/tests/large_fleet.rs
+++ b/crates/testbed/tests/large_fleet.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 /// Number of sets of a typical fleet (192 hosts), and of the operators' largest one (3,204 hosts).
-const USUAL_SETS: u64 = 16;
-const MOST_SETS: u64 = 267;
+const TYPICAL_SETS: u64 = 16;
+const MAX_SETS: u64 = 267;
 /// An answer that arrives later than this after its deadline counts as lost.
 const MAX_LATENESS: Duration = Duration::from_millis(500);
 /// Share of a processor core to which a gateway is limited.
@@ -42,15 +42,15 @@
     reads.run(address).expect("a runtime")
 }
 
-fn limit(cluster: &Cluster, gateway: usize) -> ProcessorShare {
+fn limit_processor_share(cluster: &Cluster, gateway: usize) -> ProcessorShare {
     let process = cluster.process(gateway).expect("it runs");
     ProcessorShare::limit(process.system_id(), CORE_SHARE)
 }
 
 #[track_caller]
-fn assert_none_lost(reads: ReadCounts) {
+fn assert_no_answer_lost(reads: ReadCounts) {
     assert_eq!(reads.unanswered, 0, "{reads:?}");
-    assert!(reads.latest <= MAX_LATENESS, "{reads:?}");
+    assert!(reads.max_lateness <= MAX_LATENESS, "{reads:?}");
     assert!(reads.served > 0, "{reads:?}");
 }
 
@@ -67,15 +67,15 @@
 
 #[test]
 fn no_answer_is_lost_with_thousands_of_hosts_and_a_part_of_a_core() {
-    let cluster = start(1, MOST_SETS);
-    let _share = limit(&cluster, 0);
-    assert_none_lost(send_reads(&cluster, 0, MOST_SETS));
+    let cluster = start(1, MAX_SETS);
+    let _share = limit_processor_share(&cluster, 0);
+    assert_no_answer_lost(send_reads(&cluster, 0, MAX_SETS));
 }
 
 #[test]
 fn no_answer_is_lost_in_bursts_of_datagrams_changes_of_the_list_and_reloads() {
-    let cluster = start(1, MOST_SETS);
-    let _share = limit(&cluster, 0);
+    let cluster = start(1, MAX_SETS);
+    let _share = limit_processor_share(&cluster, 0);
     let checking_gateway = cluster.checking_gateway.as_ref().expect("one that checks");
     let reads = thread::scope(|scope| {
         scope.spawn(|| change_list(&cluster, CHANGES / 10, 10 * CHANGE_INTERVAL));
@@ -88,9 +88,9 @@
                 thread::sleep(HOLD / 5);
             }
         });
-        send_reads(&cluster, 0, MOST_SETS)
+        send_reads(&cluster, 0, MAX_SETS)
     });
-    assert_none_lost(reads);
+    assert_no_answer_lost(reads);
 }
 
 /// Datagrams between the gateways are lost, delayed and cut off, one gateway is killed and starts again with all
@@ -98,14 +98,17 @@
 /// it exceeds its share of a core.
 #[test]
 fn gateways_of_a_large_fleet_lose_no_answer_while_links_break_and_one_is_killed() {
-    let mut cluster = start(3, MOST_SETS);
-    let _shares = [limit(&cluster, 0), limit(&cluster, 1)];
+    let mut cluster = start(3, MAX_SETS);
+    let _shares = [
+        limit_processor_share(&cluster, 0),
+        limit_processor_share(&cluster, 1),
+    ];
     cluster.relay.network().loss = 0.3;
     cluster.relay.network().delay = Duration::from_millis(100);
     cluster.partition(&[0], &[1, 2]);
     cluster.crash(2);
     cluster.launch(2).expect("it starts again");
-    let _restarted_share = limit(&cluster, 2);
+    let _restarted_share = limit_processor_share(&cluster, 2);
     let checking_gateway = cluster.checking_gateway.as_ref().expect("one that checks");
     let reads = thread::scope(|scope| {
         scope.spawn(|| {
@@ -119,16 +122,16 @@
         });
         let readers = [0, 1, 2].map(|gateway| {
             let cluster = &cluster;
-            scope.spawn(move || send_reads(cluster, gateway, MOST_SETS))
+            scope.spawn(move || send_reads(cluster, gateway, MAX_SETS))
         });
         readers.map(|reader| reader.join().expect("reads"))
     });
-    reads.into_iter().for_each(assert_none_lost);
+    reads.into_iter().for_each(assert_no_answer_lost);
 }
 
 /// The measured costs of a gateway in a run.
 #[derive(Clone, Copy, Debug)]
-struct Day {
+struct RunCosts {
     reads: ReadCounts,
     used: ProcessUsage,
     connections: u64,
@@ -143,7 +146,7 @@
     OneHost,
 }
 
-fn play_day(listed_sets: u64, list_changes: ListChanges) -> Day {
+fn measure_costs(listed_sets: u64, list_changes: ListChanges) -> RunCosts {
     let cluster = start(1, listed_sets);
     let reads = thread::scope(|scope| {
         if list_changes == ListChanges::OneHost {
@@ -153,7 +156,7 @@
     });
     let counters = cluster.counters(0).expect("counters");
     let process = cluster.process(0).expect("it runs");
-    Day {
+    RunCosts {
         reads,
         used: usage(process.system_id()).expect("it runs"),
         connections: counters["upstream_opened"],
@@ -163,23 +166,23 @@
 
 /// Measures a run with the typical and one with the largest number of hosts, and checks the growth of the costs.
 fn check_costs(list_changes: ListChanges) {
-    let (usual, large) = thread::scope(|scope| {
-        let usual = scope.spawn(|| play_day(USUAL_SETS, list_changes));
-        let large = scope.spawn(|| play_day(MOST_SETS, list_changes));
-        (usual.join().expect("a day"), large.join().expect("a day"))
+    let (typical, large) = thread::scope(|scope| {
+        let typical = scope.spawn(|| measure_costs(TYPICAL_SETS, list_changes));
+        let large = scope.spawn(|| measure_costs(MAX_SETS, list_changes));
+        (typical.join().expect("a run"), large.join().expect("a run"))
     });
-    println!("{usual:?}\n{large:?}");
-    let thousands = (MOST_SETS * SET_SIZE) as f64 / 1_000.0;
-    let processor = |day: &Day| day.used.processor_time.as_secs_f64();
-    let memory_mb = |day: &Day| day.used.peak_memory_kb as f64 / 1_024.0;
-    let list_kb = |day: &Day| day.list_bytes as f64 / 1_024.0;
+    println!("{typical:?}\n{large:?}");
+    let thousands = (MAX_SETS * SET_SIZE) as f64 / 1_000.0;
+    let processor = |costs: &RunCosts| costs.used.processor_time.as_secs_f64();
+    let memory_mb = |costs: &RunCosts| costs.used.peak_memory_kb as f64 / 1_024.0;
+    let list_kb = |costs: &RunCosts| costs.list_bytes as f64 / 1_024.0;
     // The operators' limits on the growth of the costs of the same run.
-    assert!(processor(&large) <= 1.4 * processor(&usual) + 0.02 + 0.03 * thousands);
-    assert!(memory_mb(&large) <= 1.5 * memory_mb(&usual) + 8.0 + 4.0 * thousands);
-    assert!(large.used.descriptors <= 2 * usual.used.descriptors + 40);
-    assert!(large.connections as f64 <= 2.5 * usual.connections as f64 + 40.0);
-    assert!(list_kb(&large) <= 2.0 * list_kb(&usual) + 64.0 + 500.0 * thousands);
-    assert!(large.reads.served_share() >= 0.85 * usual.reads.served_share());
+    assert!(processor(&large) <= 1.4 * processor(&typical) + 0.02 + 0.03 * thousands);
+    assert!(memory_mb(&large) <= 1.5 * memory_mb(&typical) + 8.0 + 4.0 * thousands);
+    assert!(large.used.descriptors <= 2 * typical.used.descriptors + 40);
+    assert!(large.connections as f64 <= 2.5 * typical.connections as f64 + 40.0);
+    assert!(list_kb(&large) <= 2.0 * list_kb(&typical) + 64.0 + 500.0 * thousands);
+    assert!(large.reads.served_share() >= 0.85 * typical.reads.served_share());
 }
 
 #[test]
--- a/crates/testbed/tests/site_loss.rs
+++ b/crates/testbed/tests/site_loss.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{ask, plan, started_with, wait, LEASE_MS};
+use common::{plan, send_statement, start_and_settle, wait_until, LEASE_MS};
 use irisrouter_testbed::cluster::load::{
     Load, LoadProfile, Rejection, RequestOutcome, StopOnDrop, PAGE_READ, REPORT,
 };
@@ -16,7 +16,7 @@
 const SITES: &str = "sites: { enabled: true, capacity_per_s: 40, refuse: ['report', 'page-read'], \
                      lost_after_ms: 500, back_after_ms: 500, ramp_from: 0.05, ramp_ms: 10000 }, ";
 
-fn started(gateways: usize, seed: u64) -> Cluster {
+fn start_with_planner(gateways: usize, seed: u64) -> Cluster {
     let pace = Pace {
         lease_ms: Some(LEASE_MS),
         ..Pace::FAST
@@ -25,12 +25,12 @@
         .operators()
         .replace("{ membership", &format!("{{ {SITES}membership"));
     let zones = ["a", "b", "c"].map(String::from).to_vec();
-    let cluster = started_with(Plan {
+    let cluster = start_and_settle(Plan {
         sets: 3,
         zones,
         ..plan(gateways, seed, operators)
     });
-    wait("somebody plans", || planner(&cluster).is_some());
+    wait_until("somebody plans", || planner(&cluster).is_some());
     cluster
 }
 
@@ -49,7 +49,7 @@
     }
 }
 
-fn says(cluster: &Cluster, gateway: usize, what: &str) -> bool {
+fn plan_contains(cluster: &Cluster, gateway: usize, what: &str) -> bool {
     cluster.call(gateway, "plan").contains(what)
 }
 
@@ -62,7 +62,7 @@
 
 /// Returns the number of statements that a host received at `from` or later and before `to`, in milliseconds since the
 /// start of the run.
-fn sent(cluster: &Cluster, id: &str, from: u64, to: u64) -> usize {
+fn count_statements(cluster: &Cluster, id: &str, from: u64, to: u64) -> usize {
     let host = cluster.hosts.iter().find(|h| h.id == id).expect("a host");
     let seen = host.seen();
     seen.statements
@@ -73,25 +73,26 @@
 
 #[test]
 fn load_of_a_lost_site_is_refused_in_order_and_ramps_up_after_its_return() {
-    let cluster = started(3, 51);
+    let cluster = start_with_planner(3, 51);
     let (load, all) = (Load::new(PROFILE), [0, 1, 2]);
     std::thread::scope(|scope| {
         let _stop = StopOnDrop(&load);
         scope.spawn(|| load.run(&cluster, &all));
         std::thread::sleep(Duration::from_secs(3));
-        let lost = cluster.clock.now();
+        let lost_at = cluster.clock.now();
         cut(&cluster, "a", &all, true);
-        wait("all follow", || {
-            all.iter()
-                .all(|&g| says(&cluster, g, "a=lost") && says(&cluster, g, "report:"))
+        wait_until("all follow", || {
+            all.iter().all(|&g| {
+                plan_contains(&cluster, g, "a=lost") && plan_contains(&cluster, g, "report:")
+            })
         });
-        let followed = cluster.clock.now();
+        let plan_followed_at = cluster.clock.now();
         std::thread::sleep(Duration::from_secs(3));
-        let back = cluster.clock.now();
+        let back_at = cluster.clock.now();
         cut(&cluster, "a", &all, false);
         // Set 1 has no host in the lost zone, so its requests are rejected only because of the failover plan.
         let outcomes: Vec<RequestOutcome> = load
-            .outcomes_between(followed, back)
+            .outcomes_between(plan_followed_at, back_at)
             .into_iter()
             .filter(|outcome| outcome.set == 1)
             .collect();
@@ -123,22 +124,24 @@
         std::thread::sleep(Duration::from_millis(2_500));
         let now = cluster.clock.now();
         let (before, after) = (
-            sent(&cluster, "h2-1", lost - 2_500, lost),
-            sent(&cluster, "h2-1", back + 20, now),
+            count_statements(&cluster, "h2-1", lost_at - 2_500, lost_at),
+            count_statements(&cluster, "h2-1", back_at + 20, now),
         );
         assert!(
             before > 10 && after * 5 < before * 3,
             "{before} before, {after} after"
         );
-        wait("led in", || {
-            all.iter().all(|&g| says(&cluster, g, "a=returning"))
+        wait_until("led in", || {
+            all.iter()
+                .all(|&g| plan_contains(&cluster, g, "a=returning"))
         });
-        wait("as usual", || {
-            all.iter().all(|&g| says(&cluster, g, "none in force"))
+        wait_until("as usual", || {
+            all.iter()
+                .all(|&g| plan_contains(&cluster, g, "none in force"))
         });
-        let usual = cluster.clock.now();
+        let recovered_at = cluster.clock.now();
         std::thread::sleep(Duration::from_secs(2));
-        let outcomes = load.outcomes_between(usual, u64::MAX);
+        let outcomes = load.outcomes_between(recovered_at, u64::MAX);
         let refused = outcomes.iter().filter(|o| !o.is_served()).count();
         assert!(
             refused * 20 <= outcomes.len(),
@@ -150,7 +153,7 @@
 
 #[test]
 fn site_that_is_cut_off_serves_by_itself_and_plans_agree_after_the_cut_heals() {
-    let cluster = started(5, 52);
+    let cluster = start_with_planner(5, 52);
     // Gateways 0 and 3 are in zone a and reach only its hosts; the other gateways reach only the hosts of zones b and
     // c.
     let (inside, outside) = ([0, 3], [1, 2, 4]);
@@ -158,29 +161,33 @@
     cut(&cluster, "a", &outside, true);
     cut(&cluster, "b", &inside, true);
     cut(&cluster, "c", &inside, true);
-    wait("seen outside", || {
-        outside.iter().all(|&g| says(&cluster, g, "a=lost"))
+    wait_until("seen outside", || {
+        outside
+            .iter()
+            .all(|&g| plan_contains(&cluster, g, "a=lost"))
     });
-    assert!(inside.iter().all(|&g| !says(&cluster, g, "a=lost")));
+    assert!(inside
+        .iter()
+        .all(|&g| !plan_contains(&cluster, g, "a=lost")));
     // Each side serves set 2 with the host that it reaches: the replica is inside, the primary outside.
     for gateway in [0, 1] {
-        wait("served on both sides", || {
+        wait_until("served on both sides", || {
             let id = format!("{:x}f{gateway}", cluster.clock.now());
             let text = format!(
                 "SELECT payload FROM entries WHERE ref = '7f3a' /* id={id},c=report,d=900,cluster=2 */"
             );
-            ask(&cluster, gateway, &text).is_ok()
+            send_statement(&cluster, gateway, &text).is_ok()
         });
     }
     cluster.heal();
-    wait("as usual", || {
-        (0..5).all(|g| says(&cluster, g, "none in force"))
+    wait_until("as usual", || {
+        (0..5).all(|g| plan_contains(&cluster, g, "none in force"))
     });
 }
 
 #[test]
 fn loss_of_a_site_is_planned_by_another_gateway_when_the_planner_is_killed() {
-    let mut cluster = started(4, 53);
+    let mut cluster = start_with_planner(4, 53);
     let first = planner(&cluster).expect("somebody plans");
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
     let zone = ["a", "b", "c"]
@@ -191,16 +198,16 @@
     cut(&cluster, &zone, &[0, 1, 2, 3], true);
     cluster.crash(first);
     let lost = format!("{zone}=lost");
-    wait("all that are left follow", || {
-        others.iter().all(|&g| says(&cluster, g, &lost))
+    wait_until("all that are left follow", || {
+        others.iter().all(|&g| plan_contains(&cluster, g, &lost))
     });
     let next = planner(&cluster).expect("another plans");
     assert_ne!(next, first);
     // A gateway that starts during the loss also follows the plan, and does not believe the lost site to be available.
     cluster.launch(first).expect("starts again");
-    wait("it follows", || says(&cluster, first, &lost));
+    wait_until("it follows", || plan_contains(&cluster, first, &lost));
     cut(&cluster, &zone, &[0, 1, 2, 3], false);
-    wait("as usual", || {
-        (0..4).all(|g| says(&cluster, g, "none in force"))
+    wait_until("as usual", || {
+        (0..4).all(|g| plan_contains(&cluster, g, "none in force"))
     });
 }
--- a/crates/testbed/tests/takeover.rs
+++ b/crates/testbed/tests/takeover.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use common::{ask, started, wait, LEASE_MS};
+use common::{send_statement, start_with_leases, wait_until, LEASE_MS};
 use irisrouter_cluster_types::{GatewayId, TaskId};
 use irisrouter_leases::rendezvous;
 use irisrouter_testbed::cluster::leases::{check, Bounds};
@@ -17,8 +17,8 @@
 fn wait_for_first_candidate(cluster: &Cluster, gateways: u32, set: u64) -> usize {
     let gateways: Vec<GatewayId> = (0..gateways).map(GatewayId).collect();
     let first_candidate = rendezvous::candidates(TaskId(set), &gateways)[0].0 as usize;
-    wait("health checks by the first candidate", || {
-        cluster.prober(set, 300) == Some(first_candidate)
+    wait_until("health checks by the first candidate", || {
+        cluster.recent_health_checker(set, 300) == Some(first_candidate)
     });
     first_candidate
 }
@@ -83,12 +83,15 @@
 
 /// The health checks of set 1 that hosts accepted with a token, in order of time.
 fn accepted_health_checks(cluster: &Cluster) -> Vec<AcceptedHealthCheck> {
-    let probes = cluster.probes(1).into_iter().filter(|probe| !probe.refused);
-    probes
-        .filter_map(|probe| {
-            let (_task, epoch) = probe.token?;
+    let health_checks = cluster
+        .health_checks(1)
+        .into_iter()
+        .filter(|health_check| !health_check.refused);
+    health_checks
+        .filter_map(|health_check| {
+            let (_task, epoch) = health_check.token?;
             Some(AcceptedHealthCheck {
-                gateway: probe.gateway,
+                gateway: health_check.gateway,
                 epoch,
             })
         })
@@ -100,16 +103,16 @@
 /// `crates/leases/tests/previous_holder.rs` tests both cases.
 #[test]
 fn lease_of_a_killed_holder_is_taken_over_by_one_other_gateway() {
-    let mut cluster = started(4, 21);
+    let mut cluster = start_with_leases(4, 21);
     let holder = wait_for_first_candidate(&cluster, 4, 1);
     let from = cluster.clock.now();
     cluster.crash(holder);
     let checks = accepted_health_checks(&cluster);
     let old = checks.iter().rfind(|check| check.gateway == holder);
     let old_epoch = old.expect("a health check by the holder").epoch;
-    wait("health checks by another gateway", || {
+    wait_until("health checks by another gateway", || {
         cluster
-            .prober(1, 300)
+            .recent_health_checker(1, 300)
             .is_some_and(|gateway| gateway != holder)
     });
     let checks = accepted_health_checks(&cluster);
@@ -138,49 +141,52 @@
     assert!(acquisition.has_possible_reason(4), "{acquisition:?}");
     cluster.launch(holder).expect("starts again");
     // After its restart the gateway is the first candidate again and gets the lease back.
-    wait("health checks by the first candidate", || {
-        cluster.prober(1, 300) == Some(holder)
+    wait_until("health checks by the first candidate", || {
+        cluster.recent_health_checker(1, 300) == Some(holder)
     });
     assert_leases_hold(&cluster, from);
 }
 
 #[test]
 fn stalled_lease_holder_that_resumes_does_nothing_under_its_old_epoch() {
-    let cluster = started(4, 22);
+    let cluster = start_with_leases(4, 22);
     let holder = wait_for_first_candidate(&cluster, 4, 0);
     let from = cluster.clock.now();
     cluster.stall(holder);
-    wait("health checks by another gateway", || {
+    wait_until("health checks by another gateway", || {
         cluster
-            .prober(0, 300)
+            .recent_health_checker(0, 300)
             .is_some_and(|gateway| gateway != holder)
     });
     cluster.resume(holder);
-    let back = cluster.clock.now();
+    let resumed_at = cluster.clock.now();
     std::thread::sleep(Duration::from_secs(2));
     assert_leases_hold(&cluster, from);
     // After the stall no host accepted a health check that carries the old epoch.
     let taken = cluster
-        .probes(0)
+        .health_checks(0)
         .into_iter()
-        .filter(|p| p.at >= back && p.gateway == holder && !p.refused);
+        .filter(|p| p.at >= resumed_at && p.gateway == holder && !p.refused);
     let old = cluster
-        .probes(0)
+        .health_checks(0)
         .iter()
-        .filter(|p| p.at < back && p.gateway == holder)
+        .filter(|p| p.at < resumed_at && p.gateway == holder)
         .filter_map(|p| p.token)
         .max();
-    for probe in taken {
-        assert!(probe.token > old, "{probe:?} is not later than {old:?}");
+    for health_check in taken {
+        assert!(
+            health_check.token > old,
+            "{health_check:?} is not later than {old:?}"
+        );
     }
 }
 
 #[test]
 fn lease_holder_whose_token_a_host_refuses_gives_the_lease_up_and_claims_it_again() {
-    let cluster = started(4, 27);
+    let cluster = start_with_leases(4, 27);
     let holder = wait_for_first_candidate(&cluster, 4, 1);
     let token = |c: &Cluster| {
-        c.probes(1)
+        c.health_checks(1)
             .iter()
             .rev()
             .find(|p| !p.refused)
@@ -188,12 +194,12 @@
     };
     let (_, old) = token(&cluster).expect("a token");
     for host in cluster.hosts.iter().filter(|h| h.set == 1) {
-        host.saw(1, old + 1);
+        host.record_token(1, old + 1);
     }
-    wait("a refused health check", || {
-        cluster.probes(1).iter().any(|p| p.refused)
+    wait_until("a refused health check", || {
+        cluster.health_checks(1).iter().any(|p| p.refused)
     });
-    wait("a later fencing token", || {
+    wait_until("a later fencing token", || {
         token(&cluster).is_some_and(|(_, now)| now > old + 1)
     });
     let lost_lease =
@@ -209,11 +215,11 @@
             line.text
         );
     });
-    assert!(!cluster.probes(1).iter().any(|p| !p.refused
+    assert!(!cluster.health_checks(1).iter().any(|p| !p.refused
         && p.token.is_some_and(|(_, e)| e == old)
         && {
             let refused = cluster
-                .probes(1)
+                .health_checks(1)
                 .iter()
                 .find(|r| r.refused)
                 .map_or(u64::MAX, |r| r.at);
@@ -223,7 +229,7 @@
 
 #[test]
 fn every_lease_is_held_by_the_majority_alone_in_a_partition() {
-    let cluster = started(5, 23);
+    let cluster = start_with_leases(5, 23);
     let holder = wait_for_first_candidate(&cluster, 5, 2);
     let from = cluster.clock.now();
     // The holder and one other gateway are the minority; both sides reach the hosts.
@@ -231,10 +237,10 @@
     let minority = [holder, other];
     let majority: Vec<usize> = (0..5).filter(|g| !minority.contains(g)).collect();
     cluster.partition(&minority, &majority);
-    wait("a lease holder in the majority for every set", || {
+    wait_until("a lease holder in the majority for every set", || {
         (0..3).all(|set| {
             cluster
-                .owner(set)
+                .reported_lease_holder(set)
                 .is_some_and(|gateway| majority.contains(&gateway))
         })
     });
@@ -246,7 +252,7 @@
 /// A health check of the former holder arrives at the host only after the majority has taken the lease over.
 #[test]
 fn late_health_check_of_the_former_holder_is_refused_for_its_token_in_a_partition() {
-    let cluster = started(4, 28);
+    let cluster = start_with_leases(4, 28);
     let holder = wait_for_first_candidate(&cluster, 4, 0);
     let from = cluster.clock.now();
     let hosts: Vec<_> = cluster.hosts.iter().filter(|h| h.set == 0).collect();
@@ -255,15 +261,15 @@
     std::thread::sleep(Duration::from_millis(400));
     let others: Vec<usize> = (0..4).filter(|&g| g != holder).collect();
     cluster.partition(&[holder], &others);
-    wait("health checks by the majority", || {
+    wait_until("health checks by the majority", || {
         cluster
-            .prober(0, 300)
+            .recent_health_checker(0, 300)
             .is_some_and(|gateway| gateway != holder)
     });
     hosts.iter().for_each(|h| h.cut(holder, false));
-    wait("the late health check", || {
+    wait_until("the late health check", || {
         cluster
-            .probes(0)
+            .health_checks(0)
             .iter()
             .any(|p| p.refused && p.gateway == holder)
     });
@@ -276,7 +282,7 @@
 /// it were alone.
 #[test]
 fn minority_partition_serves_clients_and_checks_hosts_by_itself() {
-    let cluster = started(5, 29);
+    let cluster = start_with_leases(5, 29);
     let holder = wait_for_first_candidate(&cluster, 5, 2);
     let other = (holder + 1) % 5;
     let majority: Vec<usize> = (0..5).filter(|g| ![holder, other].contains(g)).collect();
@@ -284,37 +290,39 @@
     cluster.partition(&minority, &majority);
     let checks_without_token = |g: usize, since: u64| {
         cluster
-            .probes(2)
+            .health_checks(2)
             .iter()
             .any(|p| p.at > since && p.gateway == g && p.token.is_none())
     };
     // While the holder is stalled, the other gateway detects the partition and checks hosts for both. When the holder
     // resumes, it learns this and gives its leases up.
     cluster.stall(holder);
-    wait("no majority at the other gateway", || {
+    wait_until("no majority at the other gateway", || {
         cluster.call(other, "members").contains("majority=false")
     });
-    wait("health checks without a token by the other gateway", || {
+    wait_until("health checks without a token by the other gateway", || {
         checks_without_token(other, 0)
     });
     cluster.resume(holder);
-    wait("no majority at the former holder", || {
+    wait_until("no majority at the former holder", || {
         cluster.call(holder, "members").contains("majority=false")
     });
-    wait("no lease held", || {
+    wait_until("no lease held", || {
         cluster
             .call(holder, "duties")
             .starts_with("+OK duties owned=0")
     });
-    let alone = cluster.clock.now();
-    wait("health checks without a token", || {
-        minority.iter().any(|&g| checks_without_token(g, alone))
+    let lease_lost_at = cluster.clock.now();
+    wait_until("health checks without a token", || {
+        minority
+            .iter()
+            .any(|&g| checks_without_token(g, lease_lost_at))
     });
     let read =
         "SELECT payload FROM entries WHERE ref = '7f3a' /* id=e1,c=report,d=5000,cluster=2 */";
     for gateway in [holder, majority[0]] {
         assert_eq!(
-            ask(&cluster, gateway, read).map(|row| row.contains("cluster=2")),
+            send_statement(&cluster, gateway, read).map(|row| row.contains("cluster=2")),
             Ok(true)
         );
     }
@@ -343,20 +351,20 @@
         let mut network = cluster.relay.network();
         network.cuts.retain(|&(from, _)| majority.contains(&from));
     }
-    wait("health-check results that are ignored", || {
+    wait_until("health-check results that are ignored", || {
         ignored_datagrams(observer) > 0
     });
 }
 
 #[test]
-fn gateway_that_is_told_to_stop_hands_its_leases_over_before_they_expire() {
-    let mut cluster = started(4, 24);
+fn terminated_gateway_hands_its_leases_over_before_they_expire() {
+    let mut cluster = start_with_leases(4, 24);
     let holder = wait_for_first_candidate(&cluster, 4, 1);
     let from = cluster.clock.now();
     assert_eq!(cluster.terminate(holder), Some(0));
-    wait("health checks by another gateway", || {
+    wait_until("health checks by another gateway", || {
         cluster
-            .prober(1, 300)
+            .recent_health_checker(1, 300)
             .is_some_and(|gateway| gateway != holder)
     });
     assert_leases_hold(&cluster, from);
@@ -380,7 +388,7 @@
 }
 
 /// Returns how often the primary of set 1 applied the write with this key.
-fn applied(cluster: &Cluster, key: &str) -> usize {
+fn times_applied(cluster: &Cluster, key: &str) -> usize {
     let host = cluster
         .hosts
         .iter()
@@ -391,7 +399,7 @@
 }
 
 /// Sends a write to a gateway, and kills the gateway after the host has received the write and before the host answers.
-fn in_flight(cluster: &mut Cluster, gateway: usize, key: &str) {
+fn kill_gateway_with_write_in_flight(cluster: &mut Cluster, gateway: usize, key: &str) {
     let host = cluster
         .hosts
         .iter()
@@ -401,8 +409,8 @@
     let text = write("a1", key, false);
     std::thread::scope(|scope| {
         let cluster_of = &*cluster;
-        let client = scope.spawn(move || ask(cluster_of, gateway, &text));
-        wait("the host has it", || {
+        let client = scope.spawn(move || send_statement(cluster_of, gateway, &text));
+        wait_until("the host has it", || {
             host.seen()
                 .statements
                 .iter()
@@ -416,7 +424,7 @@
         );
     });
     cluster.crash(gateway);
-    wait("it is applied", || applied(cluster, key) == 1);
+    wait_until("it is applied", || times_applied(cluster, key) == 1);
     let host = cluster
         .hosts
         .iter()
@@ -427,47 +435,50 @@
 
 #[test]
 fn write_whose_gateway_died_is_applied_once_when_its_client_sends_it_to_another() {
-    let mut cluster = started(4, 25);
-    in_flight(&mut cluster, 2, "aa01");
+    let mut cluster = start_with_leases(4, 25);
+    kill_gateway_with_write_in_flight(&mut cluster, 2, "aa01");
     // Within the deduplication window the other gateway forwards the write; the host discards it and answers it.
-    let answer = ask(&cluster, 0, &write("a2", "aa01", true));
+    let answer = send_statement(&cluster, 0, &write("a2", "aa01", true));
     assert_eq!(answer, Ok("aa01".to_string()));
-    assert_eq!(applied(&cluster, "aa01"), 1);
+    assert_eq!(times_applied(&cluster, "aa01"), 1);
     // After the window no gateway forwards the write any more, because the host would apply it again; the client gets
     // an error.
     std::thread::sleep(Duration::from_millis(1_500));
     for (n, gateway) in [0, 1, 3].into_iter().enumerate() {
-        let answer = ask(&cluster, gateway, &write(&format!("b{n}"), "aa01", true));
+        let answer = send_statement(&cluster, gateway, &write(&format!("b{n}"), "aa01", true));
         assert_eq!(answer, Err("XX000".to_string()), "gateway {gateway}");
     }
-    assert_eq!(applied(&cluster, "aa01"), 1);
+    assert_eq!(times_applied(&cluster, "aa01"), 1);
     // A write that no gateway has sent before is forwarded, whether it is marked as a repeat or not, as soon as the
     // gateways have run long enough to know that none has sent it.
-    wait("all know", || cluster.clock.now() > 15_000);
+    wait_until("all know", || cluster.clock.now() > 15_000);
     assert_eq!(
-        ask(&cluster, 1, &write("c1", "aa02", true)),
+        send_statement(&cluster, 1, &write("c1", "aa02", true)),
         Ok("aa02".to_string())
     );
     assert_eq!(
-        ask(&cluster, 3, &write("c2", "aa03", false)),
+        send_statement(&cluster, 3, &write("c2", "aa03", false)),
         Ok("aa03".to_string())
     );
     assert_eq!(
-        (applied(&cluster, "aa02"), applied(&cluster, "aa03")),
+        (
+            times_applied(&cluster, "aa02"),
+            times_applied(&cluster, "aa03")
+        ),
         (1, 1)
     );
 }
 
 #[test]
-fn repeated_write_of_which_nothing_can_be_proven_is_not_forwarded() {
-    let mut cluster = started(4, 26);
-    in_flight(&mut cluster, 1, "bb01");
+fn repeated_write_whose_outcome_cannot_be_confirmed_is_not_forwarded() {
+    let mut cluster = start_with_leases(4, 26);
+    kill_gateway_with_write_in_flight(&mut cluster, 1, "bb01");
     std::thread::sleep(Duration::from_millis(1_500));
     // Gateway 0 cannot reach the gateways that could confirm whether the write was sent.
     cluster.partition(&[0], &[2, 3]);
     assert_eq!(
-        ask(&cluster, 0, &write("d1", "bb01", true)),
+        send_statement(&cluster, 0, &write("d1", "bb01", true)),
         Err("XX000".to_string())
     );
-    assert_eq!(applied(&cluster, "bb01"), 1);
+    assert_eq!(times_applied(&cluster, "bb01"), 1);
 }
