--- a/crates/testbed/src/cluster/error.rs
+++ b/crates/testbed/src/cluster/error.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
     /// The plan has no gateway, more than [`MAX_GATEWAYS`], or no zone.
-    #[error("1 to {MAX_GATEWAYS} gateways and a zone at least, not {gateways}")]
+    #[error("a cluster needs 1 to {MAX_GATEWAYS} gateways and at least one zone; the plan has {gateways} gateways")]
     PlanSize {
         /// Number of gateways of the plan.
         gateways: usize,
@@ -24,10 +24,10 @@
         source: io::Error,
     },
     /// The runtime for asynchronous tasks could not be created.
-    #[error("no runtime: {0}")]
+    #[error("cannot create the runtime: {0}")]
     Runtime(#[source] io::Error),
     /// The thread of the stand-ins ended before it had started them.
-    #[error("no stand-ins: {0}")]
+    #[error("the thread of the stand-ins ended before it had started them: {0}")]
     StandIns(#[source] RecvError),
     /// A socket of a stand-in or the relay could not be created.
     #[error(transparent)]
@@ -41,10 +41,10 @@
         source: io::Error,
     },
     /// The standard error of a gateway's process, to which it logs, is not available.
-    #[error("a gateway without a log")]
+    #[error("the standard error of the gateway's process is not available")]
     NoLog,
     /// A gateway did not log both its addresses in time.
-    #[error("gateway {gateway} does not listen; it said:\n{log}")]
+    #[error("gateway {gateway} does not listen in time; its log:\n{log}")]
     NotListening {
         /// Number of the gateway.
         gateway: usize,
@@ -52,12 +52,12 @@
         log: String,
     },
     /// The gateways' views of one another did not agree in time.
-    #[error("the fleet does not see itself whole")]
+    #[error("the gateways' views of one another do not agree in time")]
     ViewsDiffer,
     /// The lease of a set was not acquired by any gateway in time.
-    #[error("a set has no owner")]
+    #[error("the lease of a set was not acquired in time")]
     NoLeaseHolder,
     /// A worker thread panicked in one of several parallel runs.
-    #[error("a run panicked")]
+    #[error("a thread of a parallel run panicked")]
     Panicked,
 }
--- a/crates/testbed/src/cluster/leases.rs
+++ b/crates/testbed/src/cluster/leases.rs
@@ -85,7 +85,7 @@
                 latest,
             } => write!(
                 f,
-                "set {set}: at {at} ms a host accepted {epoch} after {latest}"
+                "set {set}: at {at} ms a host accepted epoch {epoch} after epoch {latest}"
             ),
             Self::Gap {
                 set,
@@ -93,9 +93,11 @@
                 ended_at,
             } => write!(
                 f,
-                "set {set}: no holder for {gap_ms} ms before {ended_at} ms"
+                "set {set}: no accepted health check for {gap_ms} ms before {ended_at} ms"
             ),
-            Self::Abandoned { set, since } => write!(f, "set {set}: no holder since {since} ms"),
+            Self::Abandoned { set, since } => {
+                write!(f, "set {set}: no accepted health check since {since} ms")
+            }
         }
     }
 }
--- a/crates/testbed/src/cluster/schedule/summary.rs
+++ b/crates/testbed/src/cluster/schedule/summary.rs
@@ -26,7 +26,7 @@
     fn line(&self, name: &str) -> String {
         let (p50, p99, max) = (self.quantile(0.5), self.quantile(0.99), self.quantile(1.0));
         let count = self.0.len();
-        format!("{name}: {count} times; p50 {p50}, p99 {p99}, most {max} s\n")
+        format!("{name}: {count} times; p50 {p50}, p99 {p99}, max {max} s\n")
     }
 }
 
@@ -42,16 +42,16 @@
         verdicts.iter().map(of).sum::<f64>() / verdicts.len().max(1) as f64
     };
     let mut text = format!(
-        "{} schedules, {faults} faults\n{}{}{}{fenced} probes refused for an older token\na gateway a second: {:.1} datagrams, {:.0} bytes\n",
+        "{} schedules, {faults} faults\n{}{}{}{fenced} health checks refused for an outdated token\nper gateway and second: {:.1} datagrams, {:.0} bytes\n",
         verdicts.len(),
-        detection.line("crashes and cuts seen by all that had to"),
-        healing.line("one view after a fault"),
-        takeover.line("a set without its owner until a probe by another"),
+        detection.line("crashes and partitions until detected by all"),
+        healing.line("end of a fault until all views agree"),
+        takeover.line("crash of a lease holder until a health check by another gateway"),
         mean(|verdict| verdict.datagrams_per_s),
         mean(|verdict| verdict.bytes_per_s),
     );
     for verdict in verdicts.iter().filter(|v| !v.violations.is_empty()) {
-        text += &format!("seed {} did not hold:\n", verdict.seed);
+        text += &format!("seed {}: violated rules:\n", verdict.seed);
         for violation in &verdict.violations {
             text += &format!("  {violation}\n");
         }
--- a/crates/testbed/src/cluster/schedule/violation.rs
+++ b/crates/testbed/src/cluster/schedule/violation.rs
@@ -33,7 +33,7 @@
     #[error(transparent)]
     Launch(#[from] ClusterError),
     /// Not all expected observations were made within the bound.
-    #[error("not seen down in {bound:?}, as (observer, gateway): {missing:?}")]
+    #[error("not declared down within {bound:?}, as (observer, gateway): {missing:?}")]
     Undetected {
         /// The bound.
         bound: Duration,
@@ -41,7 +41,7 @@
         missing: Vec<Observation>,
     },
     /// A gateway was declared down by an observer that still received its datagrams.
-    #[error("declared down though alive and heard, as (observer, gateway): {wrong:?}")]
+    #[error("declared down though running and reachable, as (observer, gateway): {wrong:?}")]
     FalselyDeclaredDown {
         /// The observations that must not have been made.
         wrong: Vec<Observation>,
@@ -52,7 +52,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ScheduleViolation {
     /// The gateways' views of one another did not agree in time before the first fault.
-    #[error("the fleet did not come to see itself whole")]
+    #[error("the gateways' views did not agree before the first fault")]
     NotSettled,
     /// A fault did not have its required effects.
     #[error("fault {index}, {fault:?}: {source}")]
@@ -65,7 +65,7 @@
         source: FaultError,
     },
     /// The views did not agree within the healing bound after a fault.
-    #[error("after fault {index}, {fault:?}: no one view: {views:?}")]
+    #[error("after fault {index}, {fault:?}: the views do not agree: {views:?}")]
     ViewsDiffer {
         /// The number of the fault, counted from 0.
         index: usize,
@@ -78,7 +78,7 @@
     #[error("{0}")]
     Lease(LeaseViolation),
     /// A gateway sent a datagram that is longer than the platform carries.
-    #[error("a datagram was longer than the platform carries")]
+    #[error("a gateway sent a datagram longer than the platform carries")]
     DatagramTooLong,
 }
 
--- a/crates/testbed/src/cluster/site_loss.rs
+++ b/crates/testbed/src/cluster/site_loss.rs
@@ -261,17 +261,29 @@
         format!("{name}: off {}; on {}\n", interval(off), interval(on))
     };
     [
-        format!("{} runs off, {} on\n", off.len(), on.len()),
-        line("served a second before", |r| r.served_per_s_before),
-        line("served during the loss, of the capacity left", |r| {
-            r.share_of_remaining_capacity
+        format!(
+            "{} runs without failover plans (off), {} with them (on)\n",
+            off.len(),
+            on.len()
+        ),
+        line("served per second before the loss", |r| {
+            r.served_per_s_before
         }),
-        line("reports served during the loss", |r| r.reports_served),
-        line("pages served during the loss", |r| r.pages_served),
-        line("seconds to full service", |r| r.recovery_s),
-        line("peak load of a returning host, of what it bore", |r| {
-            r.peak_load
+        line(
+            "served during the loss, as a share of the remaining capacity",
+            |r| r.share_of_remaining_capacity,
+        ),
+        line("share of reports served during the loss", |r| {
+            r.reports_served
         }),
+        line("share of page reads served during the loss", |r| {
+            r.pages_served
+        }),
+        line("seconds from the return to recovery", |r| r.recovery_s),
+        line(
+            "peak load of a returning host, as a share of its capacity",
+            |r| r.peak_load,
+        ),
     ]
     .concat()
 }
--- a/crates/testbed/tests/cluster.rs
+++ b/crates/testbed/tests/cluster.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 
 fn start_and_settle(gateways: usize, seed: u64) -> Cluster {
-    let cluster = Cluster::start(plan(gateways, seed, Pace::FAST.operators())).expect("starts");
+    let cluster =
+        Cluster::start(plan(gateways, seed, Pace::FAST.operators())).expect("the cluster starts");
     cluster
         .settle(PATIENCE)
         .expect("the views of all gateways agree");
@@ -45,7 +46,9 @@
     cluster.stall(2);
     std::thread::sleep(Duration::from_secs(2));
     cluster.resume(2);
-    cluster.settle(PATIENCE).expect("all hold it alive again");
+    cluster
+        .settle(PATIENCE)
+        .expect("all believe the stalled gateway to be alive again");
     let others = [0, 1, 3, 4];
     let by_any = |to| {
         others
@@ -58,7 +61,7 @@
     for other in others {
         assert!(
             !has_logged_change(&cluster, 2, other, "down", started_at),
-            "it declared {other} down"
+            "the stalled gateway declared {other} down"
         );
     }
 }
@@ -148,7 +151,7 @@
 
 #[test]
 fn gateways_without_an_operators_file_send_no_membership_datagrams() {
-    let cluster = Cluster::start(plan(2, 16, String::new())).expect("starts");
+    let cluster = Cluster::start(plan(2, 16, String::new())).expect("the cluster starts");
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(cluster.relay.network().sent, [Traffic::default(); 2]);
     assert_eq!(cluster.call(0, "members"), "-ERR membership is off");
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -26,7 +26,7 @@
             .status();
         assert!(
             built.is_ok_and(|s| s.success()),
-            "the gateway does not build"
+            "cargo build of the gateway failed"
         );
     }
     path
@@ -62,10 +62,10 @@
 }
 
 pub fn start_and_settle(plan: Plan) -> Cluster {
-    let cluster = Cluster::start(plan).expect("starts");
+    let cluster = Cluster::start(plan).expect("the cluster starts");
     cluster
         .settle(PATIENCE)
-        .expect("the fleet sees itself whole");
+        .expect("the views of all gateways agree");
     wait_until("every set has a holder of its lease", || {
         (0..3).all(|set| cluster.recent_health_checker(set, 300).is_some())
     });
@@ -75,7 +75,10 @@
 pub fn wait_until(what: &str, mut until: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !until() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(
+            Instant::now() < end,
+            "condition not met within {PATIENCE:?}: {what}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
@@ -83,7 +86,7 @@
 /// Sends one statement on a new connection. Returns the first value of the answer, or the error's SQLSTATE (`closed`
 /// if it has none).
 pub fn send_statement(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
-    let at = cluster.process(gateway).expect("runs").address;
+    let at = cluster.process(gateway).expect("the gateway runs").address;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
--- a/crates/testbed/tests/endpoint_watch.rs
+++ b/crates/testbed/tests/endpoint_watch.rs
@@ -24,7 +24,7 @@
         limits: GatewayLimits::default(),
         ..plan(gateways, seed, operators)
     });
-    wait_until("one watcher", || {
+    wait_until("exactly one gateway watches the list", || {
         cluster.discovery.long_polling().len() == 1 && watcher(&cluster).is_some()
     });
     let watcher = watcher(&cluster).expect("a holder of the lease");
@@ -71,7 +71,7 @@
     assert!(reads_reach_replica(&cluster, (first + 1) % 5));
     let before = cluster.clock.now();
     cluster.discovery.set_phase("h1-1", "terminating");
-    wait_until("all have the list", || {
+    wait_until("all gateways have called discovery", || {
         (0..5).all(|g| {
             cluster
                 .discovery
@@ -80,7 +80,7 @@
                 .any(|c| c.gateway == g && c.at_ms >= before)
         })
     });
-    wait_until("no gateway sends there", || {
+    wait_until("no gateway sends reads to the terminating host", || {
         !(0..5).any(|g| reads_reach_replica(&cluster, g))
     });
     let calls = cluster.discovery.calls();
@@ -93,22 +93,24 @@
         "only the holder of the lease sends long polls: {calls:?}"
     );
     cluster.crash(first);
-    wait_until("another watcher", || {
+    wait_until("another gateway watches the list", || {
         cluster.discovery.long_polling().len() == 1 && watcher(&cluster).is_some()
     });
     let next = watcher(&cluster).expect("a holder of the lease");
     assert_ne!(next, first);
-    wait_until("it watches", || cluster.discovery.long_polling() == [next]);
+    wait_until("only the new watcher has a long poll open", || {
+        cluster.discovery.long_polling() == [next]
+    });
     cluster.discovery.set_phase("h1-1", "in_service");
-    wait_until("served again by all", || {
+    wait_until("all gateways send reads to the host again", || {
         cluster
             .running()
             .into_iter()
             .all(|g| reads_reach_replica(&cluster, g))
     });
     // After its restart the first candidate takes the watch back, and the other gateway stops its long poll.
-    cluster.launch(first).expect("starts again");
-    wait_until("the first one again", || {
+    cluster.launch(first).expect("the gateway starts again");
+    wait_until("the first watcher watches again", || {
         cluster.discovery.long_polling() == [first]
     });
 }
@@ -121,14 +123,14 @@
     // Discovery refuses the others, so they cannot fetch the list themselves.
     others.iter().for_each(|&g| cluster.discovery.refuse(g));
     cluster.discovery.set_phase("h1-1", "terminating");
-    wait_until("no gateway sends there", || {
+    wait_until("no gateway sends reads to the terminating host", || {
         !(0..4).any(|g| reads_reach_replica(&cluster, g))
     });
     others
         .iter()
         .for_each(|&g| cluster.discovery.stop_refusing(g));
     cluster.discovery.set_phase("h1-1", "in_service");
-    wait_until("served again", || {
+    wait_until("all gateways send reads to the host again", || {
         (0..4).all(|g| reads_reach_replica(&cluster, g))
     });
 }
@@ -140,17 +142,17 @@
     // A new revision ends the watcher's open long poll; its next call is refused.
     cluster.discovery.set_phase("h2-1", "terminating");
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
-    wait_until("the others watch", || {
+    wait_until("the other gateways watch the list", || {
         others
             .iter()
             .all(|g| cluster.discovery.long_polling().contains(g))
     });
     cluster.discovery.set_phase("h1-1", "terminating");
-    wait_until("no gateway sends there", || {
+    wait_until("no gateway sends reads to the terminating host", || {
         !others.iter().any(|&g| reads_reach_replica(&cluster, g))
     });
     cluster.discovery.stop_refusing(first);
-    wait_until("one watcher again", || {
+    wait_until("only the first watcher has a long poll open again", || {
         cluster.discovery.long_polling() == [first]
     });
 }
@@ -170,6 +172,8 @@
         sets: 3,
         ..plan(3, 44, operators)
     });
-    wait_until("all watch", || cluster.discovery.long_polling().len() == 3);
+    wait_until("all gateways watch the list", || {
+        cluster.discovery.long_polling().len() == 3
+    });
     assert!((0..3).all(|g| !cluster.call(g, "duties").contains("list:")));
 }
--- a/crates/testbed/tests/large_fleet.rs
+++ b/crates/testbed/tests/large_fleet.rs
@@ -32,7 +32,7 @@
 }
 
 fn send_reads(cluster: &Cluster, gateway: usize, sets: u64) -> ReadCounts {
-    let address = cluster.process(gateway).expect("it runs").address;
+    let address = cluster.process(gateway).expect("the gateway runs").address;
     let reads = TimedReads {
         clients: 15,
         interval: Duration::from_millis(500),
@@ -43,7 +43,7 @@
 }
 
 fn limit_processor_share(cluster: &Cluster, gateway: usize) -> ProcessorShare {
-    let process = cluster.process(gateway).expect("it runs");
+    let process = cluster.process(gateway).expect("the gateway runs");
     ProcessorShare::limit(process.system_id(), CORE_SHARE)
 }
 
@@ -76,7 +76,10 @@
 fn no_answer_is_lost_in_bursts_of_datagrams_changes_of_the_list_and_reloads() {
     let cluster = start(1, MAX_SETS);
     let _share = limit_processor_share(&cluster, 0);
-    let checking_gateway = cluster.checking_gateway.as_ref().expect("one that checks");
+    let checking_gateway = cluster
+        .checking_gateway
+        .as_ref()
+        .expect("a checking gateway");
     let reads = thread::scope(|scope| {
         scope.spawn(|| change_list(&cluster, CHANGES / 10, 10 * CHANGE_INTERVAL));
         scope.spawn(|| {
@@ -107,9 +110,12 @@
     cluster.relay.network().delay = Duration::from_millis(100);
     cluster.partition(&[0], &[1, 2]);
     cluster.crash(2);
-    cluster.launch(2).expect("it starts again");
+    cluster.launch(2).expect("the gateway starts again");
     let _restarted_share = limit_processor_share(&cluster, 2);
-    let checking_gateway = cluster.checking_gateway.as_ref().expect("one that checks");
+    let checking_gateway = cluster
+        .checking_gateway
+        .as_ref()
+        .expect("a checking gateway");
     let reads = thread::scope(|scope| {
         scope.spawn(|| {
             for _ in 0..4 {
@@ -155,10 +161,10 @@
         send_reads(&cluster, 0, listed_sets)
     });
     let counters = cluster.counters(0).expect("counters");
-    let process = cluster.process(0).expect("it runs");
+    let process = cluster.process(0).expect("the gateway runs");
     RunCosts {
         reads,
-        used: usage(process.system_id()).expect("it runs"),
+        used: usage(process.system_id()).expect("the gateway runs"),
         connections: counters["upstream_opened"],
         list_bytes: cluster.discovery.list_bytes(0),
     }
--- a/crates/testbed/tests/site_loss.rs
+++ b/crates/testbed/tests/site_loss.rs
@@ -30,7 +30,9 @@
         zones,
         ..plan(gateways, seed, operators)
     });
-    wait_until("somebody plans", || planner(&cluster).is_some());
+    wait_until("a gateway holds the lease on the failover plan", || {
+        planner(&cluster).is_some()
+    });
     cluster
 }
 
@@ -81,7 +83,7 @@
         std::thread::sleep(Duration::from_secs(3));
         let lost_at = cluster.clock.now();
         cut(&cluster, "a", &all, true);
-        wait_until("all follow", || {
+        wait_until("all gateways follow the failover plan", || {
             all.iter().all(|&g| {
                 plan_contains(&cluster, g, "a=lost") && plan_contains(&cluster, g, "report:")
             })
@@ -131,11 +133,11 @@
             before > 10 && after * 5 < before * 3,
             "{before} before, {after} after"
         );
-        wait_until("led in", || {
+        wait_until("the site is returning at all gateways", || {
             all.iter()
                 .all(|&g| plan_contains(&cluster, g, "a=returning"))
         });
-        wait_until("as usual", || {
+        wait_until("no failover plan is in force at any gateway", || {
             all.iter()
                 .all(|&g| plan_contains(&cluster, g, "none in force"))
         });
@@ -161,11 +163,14 @@
     cut(&cluster, "a", &outside, true);
     cut(&cluster, "b", &inside, true);
     cut(&cluster, "c", &inside, true);
-    wait_until("seen outside", || {
-        outside
-            .iter()
-            .all(|&g| plan_contains(&cluster, g, "a=lost"))
-    });
+    wait_until(
+        "the gateways outside follow the plan for the lost site",
+        || {
+            outside
+                .iter()
+                .all(|&g| plan_contains(&cluster, g, "a=lost"))
+        },
+    );
     assert!(inside
         .iter()
         .all(|&g| !plan_contains(&cluster, g, "a=lost")));
@@ -180,7 +185,7 @@
         });
     }
     cluster.heal();
-    wait_until("as usual", || {
+    wait_until("no failover plan is in force at any gateway", || {
         (0..5).all(|g| plan_contains(&cluster, g, "none in force"))
     });
 }
@@ -188,7 +193,7 @@
 #[test]
 fn loss_of_a_site_is_planned_by_another_gateway_when_the_planner_is_killed() {
     let mut cluster = start_with_planner(4, 53);
-    let first = planner(&cluster).expect("somebody plans");
+    let first = planner(&cluster).expect("a gateway holds the lease on the failover plan");
     let others: Vec<usize> = (0..4).filter(|&g| g != first).collect();
     let zone = ["a", "b", "c"]
         .into_iter()
@@ -198,16 +203,18 @@
     cut(&cluster, &zone, &[0, 1, 2, 3], true);
     cluster.crash(first);
     let lost = format!("{zone}=lost");
-    wait_until("all that are left follow", || {
+    wait_until("all remaining gateways follow the plan", || {
         others.iter().all(|&g| plan_contains(&cluster, g, &lost))
     });
-    let next = planner(&cluster).expect("another plans");
+    let next = planner(&cluster).expect("another gateway plans");
     assert_ne!(next, first);
     // A gateway that starts during the loss also follows the plan, and does not believe the lost site to be available.
-    cluster.launch(first).expect("starts again");
-    wait_until("it follows", || plan_contains(&cluster, first, &lost));
+    cluster.launch(first).expect("the gateway starts again");
+    wait_until("the restarted gateway follows the plan", || {
+        plan_contains(&cluster, first, &lost)
+    });
     cut(&cluster, &zone, &[0, 1, 2, 3], false);
-    wait_until("as usual", || {
+    wait_until("no failover plan is in force at any gateway", || {
         (0..4).all(|g| plan_contains(&cluster, g, "none in force"))
     });
 }
--- a/crates/testbed/tests/takeover.rs
+++ b/crates/testbed/tests/takeover.rs
@@ -139,7 +139,7 @@
     let acquisition = &acquisitions[0];
     assert_eq!(acquisition.gateway, successor.gateway, "{acquisition:?}");
     assert!(acquisition.has_possible_reason(4), "{acquisition:?}");
-    cluster.launch(holder).expect("starts again");
+    cluster.launch(holder).expect("the gateway starts again");
     // After its restart the gateway is the first candidate again and gets the lease back.
     wait_until("health checks by the first candidate", || {
         cluster.recent_health_checker(1, 300) == Some(holder)
@@ -208,7 +208,7 @@
         let line = lines
             .iter()
             .find(|l| l.gateway == holder && l.text.contains(lost_lease))
-            .expect("a log line of the loss");
+            .expect("a log line about the loss of the lease");
         assert!(
             line.text.contains("superseded by a later epoch"),
             "{}",
@@ -245,7 +245,7 @@
         })
     });
     cluster.heal();
-    cluster.settle(PATIENCE).expect("one view");
+    cluster.settle(PATIENCE).expect("the views agree");
     assert_leases_hold(&cluster, from);
 }
 
@@ -274,7 +274,7 @@
             .any(|p| p.refused && p.gateway == holder)
     });
     cluster.heal();
-    cluster.settle(PATIENCE).expect("one view");
+    cluster.settle(PATIENCE).expect("the views agree");
     assert_leases_hold(&cluster, from);
 }
 
@@ -307,7 +307,7 @@
     wait_until("no majority at the former holder", || {
         cluster.call(holder, "members").contains("majority=false")
     });
-    wait_until("no lease held", || {
+    wait_until("the former holder gives up its leases", || {
         cluster
             .call(holder, "duties")
             .starts_with("+OK duties owned=0")
@@ -374,7 +374,7 @@
         let line = lines
             .iter()
             .find(|l| l.gateway == holder && l.text.contains(lost_lease))
-            .expect("a log line of the loss");
+            .expect("a log line about the loss of the lease");
         assert!(line.text.contains("this gateway stops"), "{}", line.text);
     });
 }
@@ -410,7 +410,7 @@
     std::thread::scope(|scope| {
         let cluster_of = &*cluster;
         let client = scope.spawn(move || send_statement(cluster_of, gateway, &text));
-        wait_until("the host has it", || {
+        wait_until("the host receives the write", || {
             host.seen()
                 .statements
                 .iter()
@@ -420,11 +420,13 @@
         assert_eq!(
             client.join().expect("a client"),
             Err("closed".to_string()),
-            "its gateway died"
+            "the gateway was killed"
         );
     });
     cluster.crash(gateway);
-    wait_until("it is applied", || times_applied(cluster, key) == 1);
+    wait_until("the host applies the write", || {
+        times_applied(cluster, key) == 1
+    });
     let host = cluster
         .hosts
         .iter()
@@ -451,7 +453,9 @@
     assert_eq!(times_applied(&cluster, "aa01"), 1);
     // A write that no gateway has sent before is forwarded, whether it is marked as a repeat or not, as soon as the
     // gateways have run long enough to know that none has sent it.
-    wait_until("all know", || cluster.clock.now() > 15_000);
+    wait_until("all gateways have run for 15 s", || {
+        cluster.clock.now() > 15_000
+    });
     assert_eq!(
         send_statement(&cluster, 1, &write("c1", "aa02", true)),
         Ok("aa02".to_string())
