--- a/crates/testbed/src/cluster/counters.rs
+++ b/crates/testbed/src/cluster/counters.rs
@@ -11,7 +11,7 @@
     /// [`PATIENCE`].
     #[must_use]
     pub fn counters(&self, gateway: usize) -> Option<BTreeMap<String, u64>> {
-        let lines_before = self.history.look(<[_]>::len);
+        let lines_before = self.history.inspect_lines(<[_]>::len);
         self.signal(gateway, "-USR1");
         self.history.wait(PATIENCE, |lines| {
             let new = lines
--- a/crates/testbed/src/cluster/leases.rs
+++ b/crates/testbed/src/cluster/leases.rs
@@ -124,7 +124,7 @@
     pub fn health_checks(&self, set: u64) -> Vec<HealthCheck> {
         let hosts = self.hosts.iter().filter(|host| host.set == set);
         let mut health_checks: Vec<HealthCheck> = hosts
-            .flat_map(|host| host.seen().health_checks.clone())
+            .flat_map(|host| host.record().health_checks.clone())
             .collect();
         health_checks.sort_by_key(|health_check| health_check.at);
         health_checks
@@ -182,7 +182,7 @@
     let mut holders: BTreeMap<u64, usize> = BTreeMap::new();
     for host in cluster.hosts.iter().filter(|host| host.set == set) {
         let mut latest = 0;
-        for health_check in &host.seen().health_checks {
+        for health_check in &host.record().health_checks {
             let Some((_, epoch)) = health_check.token else {
                 continue;
             };
--- a/crates/testbed/src/cluster/process.rs
+++ b/crates/testbed/src/cluster/process.rs
@@ -62,7 +62,7 @@
     }
 
     /// Applies a function to the lines that have been read so far.
-    pub fn look<R>(&self, inspect: impl FnOnce(&[Line]) -> R) -> R {
+    pub fn inspect_lines<R>(&self, inspect: impl FnOnce(&[Line]) -> R) -> R {
         inspect(&self.lines())
     }
 
@@ -298,7 +298,7 @@
 
     /// The lines that the process has logged, each indented and followed by a line break.
     fn logged(&self) -> String {
-        self.history.look(|lines| {
+        self.history.inspect_lines(|lines| {
             let lines_of_process = lines.iter().filter(|line| line.is_of(self.id));
             lines_of_process
                 .map(|line| format!("  {}\n", line.text))
--- a/crates/testbed/src/cluster/site_loss.rs
+++ b/crates/testbed/src/cluster/site_loss.rs
@@ -228,8 +228,8 @@
 /// Maximum number of statements that a host was sent in any second after its return, as a share of its capacity in the
 /// middle of that second.
 fn peak_load(host: &Host, back_at: u64) -> f64 {
-    let seen = host.seen();
-    let times: Vec<u64> = seen
+    let record = host.record();
+    let times: Vec<u64> = record
         .statements
         .iter()
         .map(|statement| statement.0)
--- a/crates/testbed/src/cluster/stand_ins/host.rs
+++ b/crates/testbed/src/cluster/stand_ins/host.rs
@@ -91,7 +91,7 @@
     pub(super) primary: bool,
     /// A write is discarded if its key was applied within this time before it, in milliseconds.
     pub(super) deduplication_window: u64,
-    pub(super) seen: Mutex<HostRecord>,
+    pub(super) record: Mutex<HostRecord>,
     /// Gateways whose link to this host is cut.
     pub(super) cut_off: Mutex<BTreeSet<usize>>,
     /// The capacity; `None` if it is not limited.
@@ -158,7 +158,7 @@
             clock,
             primary: spec.primary,
             deduplication_window: as_ms(spec.deduplication_window),
-            seen: Mutex::default(),
+            record: Mutex::default(),
             cut_off: Mutex::default(),
             capacity: Mutex::default(),
             write_delays: Mutex::default(),
@@ -181,8 +181,8 @@
     }
 
     /// Locks the record of what the host has received and applied.
-    pub fn seen(&self) -> MutexGuard<'_, HostRecord> {
-        lock(&self.shared.seen)
+    pub fn record(&self) -> MutexGuard<'_, HostRecord> {
+        lock(&self.shared.record)
     }
 
     /// Cuts the link between a gateway and the host, or restores it if `cut` is `false`.
@@ -196,7 +196,7 @@
     }
 
     /// Sets the delay before a write is applied, and the delay from then until its answer.
-    pub fn pace(&self, before_apply: Duration, before_answer: Duration) {
+    pub fn delay_writes(&self, before_apply: Duration, before_answer: Duration) {
         *lock(&self.shared.write_delays) = WriteDelays {
             before_apply,
             before_answer,
@@ -233,7 +233,7 @@
 
     /// Records a fencing token of a task as seen though no gateway has sent it, so that the host refuses older ones.
     pub fn record_token(&self, task: u64, epoch: u64) {
-        self.seen().records_outdated_token(task, epoch);
+        self.record().records_outdated_token(task, epoch);
     }
 
     /// The host's entry in the endpoint list of a gateway.
--- a/crates/testbed/src/cluster/stand_ins/host_connection.rs
+++ b/crates/testbed/src/cluster/stand_ins/host_connection.rs
@@ -78,7 +78,7 @@
             return self.answer_health_check(gateway, &fields, now);
         }
         let statement = (arrived_at, gateway, recorded(text).to_string());
-        lock(&self.seen).statements.push(statement);
+        lock(&self.record).statements.push(statement);
         let busy = lock(&self.capacity)
             .as_mut()
             .map_or(Duration::ZERO, |capacity| capacity.enqueue(Instant::now()));
@@ -101,10 +101,10 @@
         let number = |name: &str| fields.get(name).and_then(|v| v.parse::<u64>().ok());
         let token = number("duty").zip(number("epoch"));
         let refused = {
-            let mut seen = lock(&self.seen);
+            let mut record = lock(&self.record);
             let refused =
-                token.is_some_and(|(task, epoch)| seen.records_outdated_token(task, epoch));
-            seen.health_checks.push(HealthCheck {
+                token.is_some_and(|(task, epoch)| record.records_outdated_token(task, epoch));
+            record.health_checks.push(HealthCheck {
                 at: now,
                 gateway,
                 token,
@@ -128,9 +128,9 @@
         let delays = *lock(&self.write_delays);
         tokio::time::sleep(delays.before_apply).await;
         {
-            let mut seen = lock(&self.seen);
+            let mut record = lock(&self.record);
             let now = self.clock.now();
-            let times = seen.applied.entry(key.to_string()).or_default();
+            let times = record.applied.entry(key.to_string()).or_default();
             let window = self.deduplication_window;
             if times.last().is_none_or(|&last| now > last + window) {
                 times.push(now);
--- a/crates/testbed/src/cluster/views.rs
+++ b/crates/testbed/src/cluster/views.rs
@@ -105,7 +105,7 @@
             gateway: observer,
             run: self.slots[observer].starts.saturating_sub(1),
         };
-        self.history.look(|lines| {
+        self.history.inspect_lines(|lines| {
             lines
                 .iter()
                 .filter(|line| line.is_of(id))
--- a/crates/testbed/src/soak/run.rs
+++ b/crates/testbed/src/soak/run.rs
@@ -118,7 +118,7 @@
 }
 
 fn forbidden_log_lines(cluster: &Cluster) -> Vec<String> {
-    cluster.history.look(|lines| {
+    cluster.history.inspect_lines(|lines| {
         let is_forbidden = |text: &str| FORBIDDEN_LOG.iter().any(|word| text.contains(word));
         let forbidden = lines.iter().filter(|line| is_forbidden(&line.text));
         forbidden.map(|line| line.text.clone()).collect()
@@ -126,7 +126,7 @@
 }
 
 fn last_counters(cluster: &Cluster, gateways: usize) -> Vec<String> {
-    cluster.history.look(|lines| {
+    cluster.history.inspect_lines(|lines| {
         let of_gateway = |gateway| {
             let mut own = lines.iter().rev().filter(|line| line.gateway == gateway);
             own.find(|line| line.text.contains(COUNTERS_LINE))
@@ -137,7 +137,7 @@
 }
 
 fn collect_attempts(host: &Host, records: &mut Records) {
-    let seen = host.seen();
+    let seen = host.record();
     for (at, _, text) in &seen.statements {
         let fields = comment_fields(text);
         let told_ms = fields.get("d").and_then(|told| told.parse().ok());
@@ -384,7 +384,7 @@
             }
             Step::SlowWrites { host, ms } => {
                 let delay = Duration::from_millis(ms);
-                self.cluster.hosts[host].pace(delay / 2, delay / 2);
+                self.cluster.hosts[host].delay_writes(delay / 2, delay / 2);
             }
             Step::ResetHost { host } => self.cluster.hosts[host].reset_connections(),
             Step::Drain { host } => self.drain(host),
--- a/crates/testbed/tests/cluster.rs
+++ b/crates/testbed/tests/cluster.rs
@@ -157,7 +157,7 @@
     assert_eq!(cluster.call(0, "members"), "-ERR membership is off");
     cluster
         .history
-        .look(|lines| assert!(!lines.iter().any(|l| l.text.contains("membership"))));
+        .inspect_lines(|lines| assert!(!lines.iter().any(|l| l.text.contains("membership"))));
 }
 
 #[test]
--- a/crates/testbed/tests/drains.rs
+++ b/crates/testbed/tests/drains.rs
@@ -52,7 +52,7 @@
     };
     cluster
         .history
-        .look(|lines| lines.iter().filter(is_completion).map(completion).collect())
+        .inspect_lines(|lines| lines.iter().filter(is_completion).map(completion).collect())
 }
 
 /// A statement that a host received.
@@ -67,8 +67,9 @@
 /// The statements that a host received from `from_ms` on, in milliseconds since the start of the run.
 fn sent_statements(cluster: &Cluster, host_id: &str, from_ms: u64) -> Vec<SentStatement> {
     let host = find_host(cluster, host_id);
-    let seen = host.seen();
-    seen.statements
+    let record = host.record();
+    record
+        .statements
         .iter()
         .map(|&(at_ms, gateway, _)| SentStatement { at_ms, gateway })
         .filter(|statement| statement.at_ms >= from_ms)
--- a/crates/testbed/tests/endpoint_watch.rs
+++ b/crates/testbed/tests/endpoint_watch.rs
@@ -59,8 +59,9 @@
         .iter()
         .find(|h| h.id == "h1-1")
         .expect("a host");
-    let seen = host.seen();
-    seen.statements
+    let record = host.record();
+    record
+        .statements
         .iter()
         .any(|s| s.0 >= from && s.1 == gateway)
 }
--- a/crates/testbed/tests/site_loss.rs
+++ b/crates/testbed/tests/site_loss.rs
@@ -66,8 +66,9 @@
 /// start of the run.
 fn count_statements(cluster: &Cluster, id: &str, from: u64, to: u64) -> usize {
     let host = cluster.hosts.iter().find(|h| h.id == id).expect("a host");
-    let seen = host.seen();
-    seen.statements
+    let record = host.record();
+    record
+        .statements
         .iter()
         .filter(|s| (from..to).contains(&s.0))
         .count()
--- a/crates/testbed/tests/takeover.rs
+++ b/crates/testbed/tests/takeover.rs
@@ -204,7 +204,7 @@
     });
     let lost_lease =
         "leases: this gateway no longer holds the lease on the health checks of set 1 ";
-    cluster.history.look(|lines| {
+    cluster.history.inspect_lines(|lines| {
         let line = lines
             .iter()
             .find(|l| l.gateway == holder && l.text.contains(lost_lease))
@@ -368,7 +368,7 @@
             .is_some_and(|gateway| gateway != holder)
     });
     assert_leases_hold(&cluster, from);
-    cluster.history.look(|lines| {
+    cluster.history.inspect_lines(|lines| {
         let lost_lease =
             "leases: this gateway no longer holds the lease on the health checks of set 1 ";
         let line = lines
@@ -394,8 +394,8 @@
         .iter()
         .find(|h| h.set == 1 && h.primary)
         .expect("a primary");
-    let seen = host.seen();
-    seen.applied.get(key).map_or(0, Vec::len)
+    let record = host.record();
+    record.applied.get(key).map_or(0, Vec::len)
 }
 
 /// Sends a write to a gateway, and kills the gateway after the host has received the write and before the host answers.
@@ -405,13 +405,13 @@
         .iter()
         .find(|h| h.set == 1 && h.primary)
         .expect("a primary");
-    host.pace(Duration::from_millis(200), Duration::from_secs(2));
+    host.delay_writes(Duration::from_millis(200), Duration::from_secs(2));
     let text = write("a1", key, false);
     std::thread::scope(|scope| {
         let cluster_of = &*cluster;
         let client = scope.spawn(move || send_statement(cluster_of, gateway, &text));
         wait_until("the host receives the write", || {
-            host.seen()
+            host.record()
                 .statements
                 .iter()
                 .any(|s| s.1 == gateway && s.2.contains(&format!("k={key},")))
@@ -432,7 +432,7 @@
         .iter()
         .find(|h| h.set == 1 && h.primary)
         .expect("a primary");
-    host.pace(Duration::ZERO, Duration::ZERO);
+    host.delay_writes(Duration::ZERO, Duration::ZERO);
 }
 
 #[test]
