--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -83,8 +83,8 @@
     }
 }
 
-/// Sends one statement on a new connection. Returns the first value of the answer, or the error's SQLSTATE (`closed`
-/// if it has none).
+/// Sends one statement on a new connection. Returns the first value of the answer, or the error's SQLSTATE: `closed` if
+/// it has none. An error while connecting is returned as its text.
 pub fn send_statement(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
     let at = cluster.process(gateway).expect("the gateway runs").address;
     let runtime = tokio::runtime::Builder::new_current_thread()
