--- a/crates/testbed/src/cluster/counters.rs
+++ b/crates/testbed/src/cluster/counters.rs
@@ -1,21 +1,22 @@
-//! The counters of a gateway, as it prints them.
+//! Reads the counters that a gateway logs.
 
 use super::{Cluster, PATIENCE};
 use std::collections::BTreeMap;
 
-/// What the line of a gateway's counters contains before them.
+/// The text that precedes the counters in the log line of a gateway's counters.
 pub const COUNTERS_LINE: &str = ": counters ";
 
 impl Cluster {
-    /// Asks a gateway for its counters; none where it does not print them.
+    /// Makes a gateway log its counters (SIGUSR1) and returns them; `None` if it has not logged them within
+    /// [`PATIENCE`].
     #[must_use]
     pub fn counters(&self, gateway: usize) -> Option<BTreeMap<String, u64>> {
-        let seen = self.history.look(<[_]>::len);
+        let lines_before = self.history.inspect_lines(<[_]>::len);
         self.signal(gateway, "-USR1");
         self.history.wait(PATIENCE, |lines| {
             let new = lines
                 .iter()
-                .skip(seen)
+                .skip(lines_before)
                 .filter(|line| line.gateway == gateway);
             let printed = new.filter_map(|line| line.text.split_once(COUNTERS_LINE));
             printed.map(|(_, counters)| parse(counters)).next()
--- a/crates/testbed/src/cluster/schedule/summary.rs
+++ b/crates/testbed/src/cluster/schedule/summary.rs
@@ -1,4 +1,4 @@
-//! What the runs of schedules came to, as text.
+//! Formats the results of the runs of schedules as text.
 
 use super::Verdict;
 
@@ -15,7 +15,7 @@
         Durations(sorted)
     }
 
-    /// The quantile `q`, 0 to 1, in seconds; a dash where there is none.
+    /// Formats the quantile `q`, 0 to 1, in seconds; a dash if there are no durations.
     fn quantile(&self, q: f64) -> String {
         let last = self.0.len().saturating_sub(1) as f64;
         self.0
@@ -26,11 +26,11 @@
     fn line(&self, name: &str) -> String {
         let (p50, p99, max) = (self.quantile(0.5), self.quantile(0.99), self.quantile(1.0));
         let count = self.0.len();
-        format!("{name}: {count} times; p50 {p50}, p99 {p99}, most {max} s\n")
+        format!("{name}: {count} times; p50 {p50}, p99 {p99}, max {max} s\n")
     }
 }
 
-/// The summary of runs of schedules, with what did not hold in each.
+/// Formats the summary of runs of schedules, with the violated rules of each.
 #[must_use]
 pub fn text(verdicts: &[Verdict]) -> String {
     let detection = Durations::of(verdicts, |verdict| &verdict.detection_ms);
@@ -42,16 +42,16 @@
         verdicts.iter().map(of).sum::<f64>() / verdicts.len().max(1) as f64
     };
     let mut text = format!(
-        "{} schedules, {faults} faults\n{}{}{}{fenced} probes refused for an older token\na gateway a second: {:.1} datagrams, {:.0} bytes\n",
+        "{} schedules, {faults} faults\n{}{}{}{fenced} health checks refused for an outdated token\nper gateway and second: {:.1} datagrams, {:.0} bytes\n",
         verdicts.len(),
-        detection.line("crashes and cuts seen by all that had to"),
-        healing.line("one view after a fault"),
-        takeover.line("a set without its owner until a probe by another"),
+        detection.line("crashes and partitions until detected by all"),
+        healing.line("end of a fault until all views agree"),
+        takeover.line("crash of a lease holder until a health check by another gateway"),
         mean(|verdict| verdict.datagrams_per_s),
         mean(|verdict| verdict.bytes_per_s),
     );
     for verdict in verdicts.iter().filter(|v| !v.violations.is_empty()) {
-        text += &format!("seed {} did not hold:\n", verdict.seed);
+        text += &format!("seed {}: violated rules:\n", verdict.seed);
         for violation in &verdict.violations {
             text += &format!("  {violation}\n");
         }
--- a/crates/testbed/tests/cluster.rs
+++ b/crates/testbed/tests/cluster.rs
@@ -1,6 +1,7 @@
-//! Several real gateways with membership on, behind the fault proxy: crashes (kill -9), stalls (SIGSTOP and SIGCONT),
-//! cuts, partitions, loss, delay, restarts, and a planned stop. Each test waits for conditions with a long timeout; no step
-//! depends on a tight timing. Pings every 200 ms keep a run short; the stall survived is 3 s.
+//! Tests of membership with several real gateways behind the fault proxy: crashes (SIGKILL), stalls (SIGSTOP and
+//! SIGCONT), cuts, partitions, loss, delay, restarts, and a planned stop. Each test waits for conditions with a long
+//! timeout, so that no step depends on tight timing. The ping period is 200 ms, which keeps a run short; a gateway
+//! survives a stall of 3 s.
 
 mod common;
 
@@ -10,8 +11,9 @@
 use irisrouter_testbed::cluster::{Cluster, PATIENCE};
 use std::time::Duration;
 
-fn started(gateways: usize, seed: u64) -> Cluster {
-    let cluster = Cluster::start(plan(gateways, seed, Pace::FAST.operators())).expect("starts");
+fn start_and_settle(gateways: usize, seed: u64) -> Cluster {
+    let cluster =
+        Cluster::start(plan(gateways, seed, Pace::FAST.operators())).expect("the cluster starts");
     cluster
         .settle(PATIENCE)
         .expect("the views of all gateways agree");
@@ -39,30 +41,32 @@
 
 #[test]
 fn gateway_stalled_for_two_seconds_is_suspected_and_not_declared_down() {
-    let cluster = started(5, 12);
-    let began = cluster.clock.now();
+    let cluster = start_and_settle(5, 12);
+    let started_at = cluster.clock.now();
     cluster.stall(2);
     std::thread::sleep(Duration::from_secs(2));
     cluster.resume(2);
-    cluster.settle(PATIENCE).expect("all hold it alive again");
+    cluster
+        .settle(PATIENCE)
+        .expect("all believe the stalled gateway to be alive again");
     let others = [0, 1, 3, 4];
     let by_any = |to| {
         others
             .iter()
-            .any(|&o| cluster_changes(&cluster, o, 2, to, began))
+            .any(|&o| has_logged_change(&cluster, o, 2, to, started_at))
     };
     assert!(by_any("suspect"), "no gateway suspected the stalled one");
     assert!(!by_any("down"), "a stalled gateway was declared down");
-    // Nor does the one that was away take its own absence for theirs.
+    // The stalled gateway received nothing during its stall, and must not declare the others down for that.
     for other in others {
         assert!(
-            !cluster_changes(&cluster, 2, other, "down", began),
-            "it declared {other} down"
+            !has_logged_change(&cluster, 2, other, "down", started_at),
+            "the stalled gateway declared {other} down"
         );
     }
 }
 
-fn cluster_changes(
+fn has_logged_change(
     cluster: &Cluster,
     observer: usize,
     member: usize,
@@ -105,18 +109,21 @@
 
 #[test]
 fn sides_of_a_partition_declare_each_other_down_and_agree_after_it_heals() {
-    let cluster = started(5, 14);
+    let cluster = start_and_settle(5, 14);
     cluster.partition(&[0, 1, 2], &[3, 4]);
-    let held = |o: usize, side: &[usize]| side.iter().all(|&m| cluster.view(o)[m] == "down");
+    let declares_all_down =
+        |o: usize, side: &[usize]| side.iter().all(|&m| cluster.view(o)[m] == "down");
     let until = std::time::Instant::now() + PATIENCE;
-    while !((0..3).all(|o| held(o, &[3, 4])) && (3..5).all(|o| held(o, &[0, 1, 2]))) {
+    while !((0..3).all(|o| declares_all_down(o, &[3, 4]))
+        && (3..5).all(|o| declares_all_down(o, &[0, 1, 2])))
+    {
         assert!(
             std::time::Instant::now() < until,
             "the sides do not declare each other down"
         );
         std::thread::sleep(Duration::from_millis(50));
     }
-    // Only the larger side may claim what needs a majority.
+    // Only the larger side has a majority.
     assert!(cluster
         .call(0, "members")
         .contains("reachable=3 of 5 majority=true"));
@@ -129,28 +136,28 @@
 
 #[test]
 fn gateway_that_stops_on_request_is_declared_down_without_suspicion() {
-    let mut cluster = started(4, 15);
-    let began = cluster.clock.now();
+    let mut cluster = start_and_settle(4, 15);
+    let started_at = cluster.clock.now();
     assert_eq!(cluster.terminate(1), Some(0));
     cluster
         .settle(PATIENCE)
         .expect("the others declare it down");
-    // Whoever hears it from the gateway itself needs no suspicion before.
+    // A gateway that receives the announcement of the stop declares the member down without suspecting it first.
     assert!([0, 2, 3].iter().any(|&o| {
-        cluster_changes(&cluster, o, 1, "down", began)
-            && !cluster_changes(&cluster, o, 1, "suspect", began)
+        has_logged_change(&cluster, o, 1, "down", started_at)
+            && !has_logged_change(&cluster, o, 1, "suspect", started_at)
     }));
 }
 
 #[test]
 fn gateways_without_an_operators_file_send_no_membership_datagrams() {
-    let cluster = Cluster::start(plan(2, 16, String::new())).expect("starts");
+    let cluster = Cluster::start(plan(2, 16, String::new())).expect("the cluster starts");
     std::thread::sleep(Duration::from_secs(2));
     assert_eq!(cluster.relay.network().sent, [Traffic::default(); 2]);
     assert_eq!(cluster.call(0, "members"), "-ERR membership is off");
     cluster
         .history
-        .look(|lines| assert!(!lines.iter().any(|l| l.text.contains("membership"))));
+        .inspect_lines(|lines| assert!(!lines.iter().any(|l| l.text.contains("membership"))));
 }
 
 #[test]
--- a/crates/testbed/tests/common/mod.rs
+++ b/crates/testbed/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests with real gateways share.
+//! Helpers for the tests with real gateways.
 
 #![allow(dead_code, reason = "not every test uses all of it")]
 
@@ -14,7 +14,8 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The gateway's program, which the whole workspace's tests have built; a test of this package alone builds it.
+/// Path of the gateway's executable. A test run of the whole workspace has built it already; a test run of this package
+/// alone builds it here.
 pub fn gateway() -> PathBuf {
     let path = Path::new(env!("CARGO_BIN_EXE_irisrouter-testbed")).with_file_name("irisrouter");
     if !path.is_file() {
@@ -25,13 +26,13 @@
             .status();
         assert!(
             built.is_ok_and(|s| s.success()),
-            "the gateway does not build"
+            "cargo build of the gateway failed"
         );
     }
     path
 }
 
-/// A small cluster: one set in one zone.
+/// The plan of a small cluster with one set in one zone.
 pub fn plan(gateways: usize, seed: u64, operators: String) -> Plan {
     Plan {
         gateways,
@@ -47,55 +48,59 @@
     }
 }
 
-/// Gateways with leases on and three sets, each of which has a holder of its lease.
-pub fn started(gateways: usize, seed: u64) -> Cluster {
+/// Starts a cluster with leases on and three sets, and waits until each set has a lease holder.
+pub fn start_with_leases(gateways: usize, seed: u64) -> Cluster {
     let operators = Pace {
         lease_ms: Some(LEASE_MS),
         ..Pace::FAST
     }
     .operators();
-    started_with(Plan {
+    start_and_settle(Plan {
         sets: 3,
         ..plan(gateways, seed, operators)
     })
 }
 
-pub fn started_with(plan: Plan) -> Cluster {
-    let cluster = Cluster::start(plan).expect("starts");
+pub fn start_and_settle(plan: Plan) -> Cluster {
+    let cluster = Cluster::start(plan).expect("the cluster starts");
     cluster
         .settle(PATIENCE)
-        .expect("the fleet sees itself whole");
-    wait("every set has a holder of its lease", || {
-        (0..3).all(|set| cluster.prober(set, 300).is_some())
+        .expect("the views of all gateways agree");
+    wait_until("every set has a holder of its lease", || {
+        (0..3).all(|set| cluster.recent_health_checker(set, 300).is_some())
     });
     cluster
 }
 
-pub fn wait(what: &str, mut until: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut until: impl FnMut() -> bool) {
     let end = Instant::now() + PATIENCE;
     while !until() {
-        assert!(Instant::now() < end, "waited in vain: {what}");
+        assert!(
+            Instant::now() < end,
+            "condition not met within {PATIENCE:?}: {what}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// A client that sends one statement on a connection of its own: the value it got, or the code of the refusal.
-pub fn ask(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
-    let at = cluster.process(gateway).expect("runs").address;
+/// Sends one statement on a new connection. Returns the first value of the answer, or the error's SQLSTATE: `closed` if
+/// it has none. An error while connecting is returned as its text.
+pub fn send_statement(cluster: &Cluster, gateway: usize, text: &str) -> Result<String, String> {
+    let at = cluster.process(gateway).expect("the gateway runs").address;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        let way = format!("host=127.0.0.1 port={} user=web dbname=orders", at.port());
-        let (client, connection) = tokio_postgres::connect(&way, tokio_postgres::NoTls)
+        let url = format!("host=127.0.0.1 port={} user=web dbname=orders", at.port());
+        let (client, connection) = tokio_postgres::connect(&url, tokio_postgres::NoTls)
             .await
             .map_err(|e| e.to_string())?;
-        let carried = tokio::spawn(connection);
-        let said = client.simple_query(text).await;
+        let connection_task = tokio::spawn(connection);
+        let result = client.simple_query(text).await;
         drop(client);
-        let _ = carried.await;
-        match said {
+        let _ = connection_task.await;
+        match result {
             Ok(rows) => Ok(rows
                 .iter()
                 .find_map(|m| match m {
