--- a/crates/drain-coordination/src/action.rs
+++ b/crates/drain-coordination/src/action.rs
@@ -14,7 +14,8 @@
         /// Encoded datagram of at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Follow this command from now on: log it, and take the host out of service or return it to service.
+    /// The caller must follow this command from now on: the caller logs the command, and takes the host out of
+    /// service or returns the host to service.
     Follow(DrainCommand),
     /// Answer the operator who issued a command at this gateway: its replication has ended.
     Replicated {
--- a/crates/testbed/src/cluster/stand_ins/host.rs
+++ b/crates/testbed/src/cluster/stand_ins/host.rs
@@ -58,7 +58,7 @@
 /// The properties of a stand-in host.
 #[derive(Debug, Clone)]
 pub struct HostSpec {
-    /// Its id in the list.
+    /// Id of the host in the endpoint list.
     pub id: String,
     /// The set to which it belongs.
     pub set: u64,
@@ -72,7 +72,7 @@
 
 /// A stand-in host.
 pub struct Host {
-    /// Its id in the list.
+    /// Id of the host in the endpoint list.
     pub id: String,
     /// The set to which it belongs.
     pub set: u64,
--- a/src/routing/settings.rs
+++ b/src/routing/settings.rs
@@ -67,26 +67,26 @@
 /// What members do with a read for which their data are too old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StalenessCheck {
-    /// They answer it from the data that they have.
+    /// The member answers the read from the data that it has.
     None,
-    /// They reject it at once.
+    /// The member rejects the read at once.
     Reject,
-    /// They wait up to this long, then reject it.
+    /// The member waits up to this long for recent enough data, then rejects the read.
     Wait(TimeDelta),
 }
 
-/// Whether the endpoint list gives roles.
+/// Which roles of the members the endpoint list gives, if any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RoleInEndpointList {
-    /// It gives none.
+    /// The endpoint list gives no roles.
     None,
-    /// It gives only the initial roles of the members.
+    /// The endpoint list gives the initial roles of the members, and never updates these roles.
     Static,
-    /// It gives current roles, some seconds late.
+    /// The endpoint list gives current roles, some seconds late.
     Late,
 }
 
-/// Where load reports arrive.
+/// Messages with which the load reports of members arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadReportSource {
     /// With answers and health checks.
--- a/src/routing/timer.rs
+++ b/src/routing/timer.rs
@@ -7,7 +7,7 @@
 /// Ticks until the timer fires while requests are queued.
 const TICKS_WHILE_QUEUED: i64 = 2;
 
-/// State of the router's timer, of which at most one is set at a time.
+/// State of the router's timer. The router has at most one timer set at a time.
 #[derive(Debug, Default)]
 pub(super) struct TimerSchedule {
     fires_at: Timestamp,
--- a/tests/gateway/harness/gateway.rs
+++ b/tests/gateway/harness/gateway.rs
@@ -103,7 +103,7 @@
 /// Exit code and standard error of a program that failed to start.
 pub struct StartupFailure {
     pub exit_code: Option<i32>,
-    /// Its standard error, with the path of its configuration file replaced by `CONFIG`.
+    /// Standard error of the program, with the path of the configuration file replaced by `CONFIG`.
     pub stderr: String,
 }
 
--- a/tests/gateway/harness/host.rs
+++ b/tests/gateway/harness/host.rs
@@ -19,7 +19,7 @@
     Row(&'static str),
     /// An error with this SQLSTATE.
     Error(&'static str),
-    /// These bytes, whether or not they are messages.
+    /// The given bytes, sent unchanged whether or not they are messages.
     Raw(&'static [u8]),
     /// A row whose value has this many bytes. The host sends the first half, and the rest after [`Host::resume`].
     PausedRow(usize),
--- a/tests/gateway/harness/monitor.rs
+++ b/tests/gateway/harness/monitor.rs
@@ -1,4 +1,4 @@
-//! A value that threads share, and on whose updates they wait.
+//! [`Monitor`] holds a value that several threads share, and lets threads wait for updates of the value.
 
 use super::TEST_TIMEOUT;
 use std::sync::{Arc, Condvar, Mutex};
--- a/tests/unit/cancel.rs
+++ b/tests/unit/cancel.rs
@@ -1,4 +1,4 @@
-//! Selection of the query that a cancel request cancels.
+//! Unit tests of the cancel registry check which query a cancel request cancels.
 
 use super::{CancelRegistry, CancellableQuery};
 use std::rc::Rc;
